--- a/tests/disk.py
+++ b/tests/disk.py
@@ -5,8 +5,8 @@
 import random
 
 from valeturn.store import bounds, clock
-from valeturn.transport.helper import Inline
 from valeturn.store.kept import Kept
+from valeturn.transport.helper import Inline
 
 
 class Disk:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,6 +10,7 @@
 import time
 
 import pytest
+
 from valeturn.fleet import duties as du
 from valeturn.fleet import fences, founding, guard, links, votes, wire
 from valeturn.fleet import owner as ow
--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -8,9 +8,9 @@
 import pytest
 from test_program import CONFIG, ROOT, command
 
-from valeturn.program import configuration, parts
 from valeturn.options import grammar, kinds, schema, sections
 from valeturn.options.kinds import Quantity, Wants
+from valeturn.program import configuration, parts
 
 DECLARED = parts.options_modules()
 SHAPES = [module.SHAPE for module in DECLARED.values()]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -771,8 +771,8 @@
 def test_damage_is_found_by_a_scan_and_named_by_verify(tmp_path):
     from valeturn.store import clock, commands
     from valeturn.store.files import Files
-    from valeturn.transport.helper import Inline
     from valeturn.store.kept import Kept
+    from valeturn.transport.helper import Inline
 
     machine, files = Machine(), Files(str(tmp_path))
     machine.limits = machine.limits._replace(segment=2000)
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -3,6 +3,7 @@
 import socket
 
 import pytest
+from helpers import frame, submission
 
 from valeturn.interface import Outcome
 from valeturn.program.bounds import CONNECTION, OTHERS, PROCESS, SUBMISSION, derive
@@ -18,8 +19,6 @@
 from valeturn.transport.scheduler import Mailbox, Scheduler
 from valeturn.transport.streams import Stream, Trouble, connect
 
-from helpers import frame, submission
-
 
 @pytest.fixture
 def scheduler():
--- a/valeturn/lab/storebench.py
+++ b/valeturn/lab/storebench.py
@@ -22,11 +22,11 @@
 
 from ..store import bounds, clock, entry
 from ..store.files import Files
-from ..transport.helper import Helper
 from ..store.index import Index
 from ..store.kept import Kept
 from ..store.snapshots import Snapshotting
 from ..store.wheel import Wheel
+from ..transport.helper import Helper
 
 AT_ONCE = 100  # submissions under way
 RESULT = bytes(range(256))
--- a/valeturn/program/parts/store.py
+++ b/valeturn/program/parts/store.py
@@ -5,9 +5,9 @@
 from ...routing.messages import DiskNews
 from ...store import bounds, clock
 from ...store.files import Files
-from ...transport.helper import Helper
 from ...store.kept import Kept
 from ...store.recovery import Refused
+from ...transport.helper import Helper
 from ...transport.streams import Stream
 from ..configuration import Wrong
 from . import Part as Base
--- a/valeturn/store/commands.py
+++ b/valeturn/store/commands.py
@@ -5,10 +5,11 @@
 import os
 import sys
 
-from . import bounds, clock, files as names, records
+from ..transport.helper import Inline
+from . import bounds, clock, records
+from . import files as names
 from .entry import STATES
 from .files import Files
-from ..transport.helper import Inline
 from .kept import Kept
 from .opening import open_folder
 from .recovery import Refused
--- a/valeturn/store/wheel.py
+++ b/valeturn/store/wheel.py
@@ -7,7 +7,6 @@
 
 from __future__ import annotations
 
-
 SPAN = 512  # s of the near ring, and of one place of the far one: two rings cover days with a thousand places
 DIGEST = 16
 
