--- a/examples/submit.py
+++ b/examples/submit.py
@@ -1,6 +1,6 @@
 """Sends one submission to a server, as a gateway would, and prints its answer.
 
-    python examples/submit.py [HOST:PORT [WORKLOAD [BODY]]]
+python examples/submit.py [HOST:PORT [WORKLOAD [BODY]]]
 """
 
 import os
@@ -17,8 +17,17 @@
 
 
 def submission(stream, workload, body, wait_ms=2000):
-    fields = {"op": workload, "call": os.urandom(8).hex(), "recv": str(int(1000 * time.time())), "src": "1",
-              "org": "acme", "ttl": str(wait_ms), "work": "100.0", "heap": "8.0", "crit": "0.5"}
+    fields = {
+        "op": workload,
+        "call": os.urandom(8).hex(),
+        "recv": str(int(1000 * time.time())),
+        "src": "1",
+        "org": "acme",
+        "ttl": str(wait_ms),
+        "work": "100.0",
+        "heap": "8.0",
+        "crit": "0.5",
+    }
     parts = [bytes((len(fields),))]
     for name, value in fields.items():
         name, value = name.encode(), value.encode()
@@ -36,8 +45,8 @@
     fields, at = {}, 2
     for _ in range(payload[1]):
         name_end = at + 1 + payload[at]
-        size, = struct.unpack_from("<H", payload, name_end)
-        fields[payload[at + 1:name_end].decode()] = payload[name_end + 2:name_end + 2 + size].decode()
+        (size,) = struct.unpack_from("<H", payload, name_end)
+        fields[payload[at + 1 : name_end].decode()] = payload[name_end + 2 : name_end + 2 + size].decode()
         at = name_end + 2 + size
     return stream, VERDICTS[payload[0]], fields, payload[at:]
 
--- a/tests/fabric_cases.py
+++ b/tests/fabric_cases.py
@@ -27,23 +27,31 @@
 
     def __call__(self, **how):
         """Decorates a case; how: of the Fleet."""
+
         def kept(function):
             self.cases[function.__name__] = function, how
             return function
+
         return kept
 
     async def one(self, name, places, folders):
         function, how = self.cases[name]
         async with places:
-            fleet = Fleet(folders.mktemp("f") / "f", how.get("count", 3), 1, **{
-                "duties": EFFECT, **{k: v for k, v in how.items() if k != "count"}})
+            fleet = Fleet(
+                folders.mktemp("f") / "f",
+                how.get("count", 3),
+                1,
+                **{"duties": EFFECT, **{k: v for k, v in how.items() if k != "count"}},
+            )
             try:
                 await fleet.start()
                 await function(fleet)
                 return None
             except Exception as error:
-                logs = "\n".join(f"--- {server.name}\n" + "\n".join(
-                    server.path("log").read_text().splitlines()[-25:]) for server in fleet.servers.values())
+                logs = "\n".join(
+                    f"--- {server.name}\n" + "\n".join(server.path("log").read_text().splitlines()[-25:])
+                    for server in fleet.servers.values()
+                )
                 return isinstance(error, Broken), traceback.format_exc() + logs
             finally:
                 await fleet.close()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -23,10 +23,26 @@
 
 def settings(**changes):
     base = it.Settings(
-        workloads=WORKLOADS, tenants=(it.Tenant("a", 5.0), it.Tenant("b", 5.0)), servers=2, cores=2,
-        memory=4000.0, run_memory_factor=4.0, key_memory=10.0, halting=it.Halting.DROP, tick=0.005,
-        answer_slack=0.1, drain_grace=1.0, crowd_factor=8.0, cold_speed=0.2, cold_time=10.0, calls_share=4.0,
-        calls_window=5.0, call_linger=0.2, longest_advice=1.0, by_work=True)
+        workloads=WORKLOADS,
+        tenants=(it.Tenant("a", 5.0), it.Tenant("b", 5.0)),
+        servers=2,
+        cores=2,
+        memory=4000.0,
+        run_memory_factor=4.0,
+        key_memory=10.0,
+        halting=it.Halting.DROP,
+        tick=0.005,
+        answer_slack=0.1,
+        drain_grace=1.0,
+        crowd_factor=8.0,
+        cold_speed=0.2,
+        cold_time=10.0,
+        calls_share=4.0,
+        calls_window=5.0,
+        call_linger=0.2,
+        longest_advice=1.0,
+        by_work=True,
+    )
     return base._replace(**changes)
 
 
@@ -45,8 +61,18 @@
             if isinstance(e, it.Arrived):
                 w = self.s.workloads[e.workload]
                 left = e.left if e.left is not None else w.cut_off - e.waited
-                self.subs[e.id] = dict(e=e, w=w, due=max(now, now + left), reached=now - e.waited, at="held",
-                                       ran=False, owed=True, called=False, unrun=False, fresh=False)
+                self.subs[e.id] = dict(
+                    e=e,
+                    w=w,
+                    due=max(now, now + left),
+                    reached=now - e.waited,
+                    at="held",
+                    ran=False,
+                    owed=True,
+                    called=False,
+                    unrun=False,
+                    fresh=False,
+                )
             elif isinstance(e, it.Gone):
                 if self.subs[e.id]["at"] == "calling":
                     self.over(self.subs[e.id], self.s.call_linger)
@@ -167,8 +193,19 @@
 
 
 def submission(stream, rank="0.5", body=b"body", **changes):
-    fields = {"op": "quote", "call": "9b1f03aa5c7e2d41", "recv": "1764576000123", "src": "4", "org": "acme",
-              "ttl": "480", "work": "12.50", "heap": "24.5", "crit": rank, "x-new": "?", **changes}
+    fields = {
+        "op": "quote",
+        "call": "9b1f03aa5c7e2d41",
+        "recv": "1764576000123",
+        "src": "4",
+        "org": "acme",
+        "ttl": "480",
+        "work": "12.50",
+        "heap": "24.5",
+        "crit": rank,
+        "x-new": "?",
+        **changes,
+    }
     fields = {name: value for name, value in fields.items() if value is not None}
     parts = [bytes((len(fields),))]
     for name, value in fields.items():
@@ -186,9 +223,16 @@
         self.settings = settings(**changes)
         self.workloads = {w.name: index for index, w in enumerate(self.settings.workloads)}
         self.tenants, self.passes_wait = {t.name: i for i, t in enumerate(self.settings.tenants)}, True
-        self.core = Core(self, self, derive(384, 64), None, lambda cold, age: rules or self,
-                         Parties(self, self, self, self),
-                         Telling(self.count, self, lambda event, *_, **__: self.logged.append(event)), kept)
+        self.core = Core(
+            self,
+            self,
+            derive(384, 64),
+            None,
+            lambda cold, age: rules or self,
+            Parties(self, self, self, self),
+            Telling(self.count, self, lambda event, *_, **__: self.logged.append(event)),
+            kept,
+        )
         self.turn(LinkUp(False, 0.0), do=[it.Health(True, True)])
         self.numbers = 0
 
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -40,8 +40,10 @@
         self.raw, self.address, self.config = raw, (own, 4100), folder / "config.json"
         self.config.write_text(json.dumps(raw))
         if parties:
-            self.toy = self.start([sys.executable, "examples/toy.py", raw["executor"], raw["ledger"],
-                                   raw["naming"]], stdout=subprocess.PIPE)
+            self.toy = self.start(
+                [sys.executable, "examples/toy.py", raw["executor"], raw["ledger"], raw["naming"]],
+                stdout=subprocess.PIPE,
+            )
             assert self.toy.stdout.readline() == "ready\n"
 
     def start(self, words, env=(), **pipes):
@@ -92,7 +94,7 @@
         while len(data) >= 9 and len(data) >= 4 + struct.unpack_from("<I", data)[0]:
             length, kind, stream = struct.unpack_from("<IBI", data)
             out.append((kind, stream, data[9] if length > 5 else None))
-            data = data[4 + length:]
+            data = data[4 + length :]
     assert not data, "half a frame"
     return out
 
@@ -142,8 +144,9 @@
 BY_ITSELF = ["-c", "import sys; from valeturn.program.commands import serve; sys.exit(serve(sys.argv[1]))"]
 
 
-@pytest.mark.parametrize("number, words", [
-    (signal.SIGTERM, COMMAND), (signal.SIGINT, COMMAND), (signal.SIGTERM, BY_ITSELF)])
+@pytest.mark.parametrize(
+    "number, words", [(signal.SIGTERM, COMMAND), (signal.SIGINT, COMMAND), (signal.SIGTERM, BY_ITSELF)]
+)
 def test_a_notice_during_the_start_ends_it_well(installed, number, words):
     """The process stands at the reading of its configuration when the notice comes: a pipe holds it there."""
     at = installed(parties=False)
@@ -370,8 +373,9 @@
     made.core.make_rules = lambda cold, age: types.SimpleNamespace(decide=lambda now, events: [])
     made.scheduler.spawn(made.core.run, name="core", late=True)
     made.gateways.listener = types.SimpleNamespace(drain=lambda until: None)
-    asked = frames.Submitted(1, "0" * 16, "file", "acme", time.time(), 2.0, 0.1, 8.0, 0.5, 1, None, None,
-                             False, b"body")
+    asked = frames.Submitted(
+        1, "0" * 16, "file", "acme", time.time(), 2.0, 0.1, 8.0, 0.5, 1, None, None, False, b"body"
+    )
     made.core.mailbox.push(msg.LinkUp(False, 9.0))
     made.core.mailbox.push(msg.Arrival(caller, asked))
     made.scheduler.spawn(made.leave)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -51,12 +51,14 @@
 
 def reading(scheduler, far, into):  # noqa: F811
     """Reads to the end beside the loop, then closes."""
+
     def body():
         try:
             into.append(rest(far))
         except OSError as error:
             into.append(error)
         far.close()
+
     thread = threading.Thread(target=body, daemon=True)
     thread.start()
     return thread
@@ -229,8 +231,10 @@
     monkeypatch.setattr(listener_module, "Stream", make)
 
     def test():
-        with socket.create_connection(listener.sock.getsockname()), socket.create_connection(
-                listener.sock.getsockname()):
+        with (
+            socket.create_connection(listener.sock.getsockname()),
+            socket.create_connection(listener.sock.getsockname()),
+        ):
             while not came:
                 scheduler.sleep(0.01)
 
@@ -269,8 +273,10 @@
         listener.shut_the_door = lambda: None
 
     def test():
-        accept, listener.accept = listener.accept, lambda: late.connect_ex(address) and (
-            setattr(listener, "accept", accept)) or Accepted.ALL
+        accept, listener.accept = (
+            listener.accept,
+            lambda: late.connect_ex(address) and (setattr(listener, "accept", accept)) or Accepted.ALL,
+        )
         listener.drain(scheduler.clock() + 1.0)
 
     close = listener.close
@@ -438,8 +444,9 @@
             bounds = bounds._replace(connections=connections)
         self.scheduler = scheduler
         self.gateways = Gateways(scheduler, self.put.append, Known, bounds, self.count)
-        self.gateways.listener = Listener(scheduler, ("127.0.0.1", 0), bounds.connections,
-                                          self.gateways.accept, self.gateways.evict)
+        self.gateways.listener = Listener(
+            scheduler, ("127.0.0.1", 0), bounds.connections, self.gateways.accept, self.gateways.evict
+        )
 
     def count(self, name, amount=1):
         self.counts[name] = self.counts.get(name, 0) + amount
@@ -525,8 +532,7 @@
     def test():
         connection, far = served.connect()
         far.sendall(submission(1) + submission(1) + submission(9) + submission(10)[:30])
-        assert served.to_the_end(far) == (
-            frame(8, 1, OFF) + frame(8, 0, OFF) + frame(8, 9, TURNED))
+        assert served.to_the_end(far) == (frame(8, 1, OFF) + frame(8, 0, OFF) + frame(8, 9, TURNED))
         assert [type(m) for m in served.put] == [msg.Arrival, msg.ConnectionEnded]
 
     run(scheduler, test)
@@ -623,8 +629,9 @@
 
     def __init__(self, scheduler, *scripts):  # noqa: F811
         self.scripts, self.told = list(scripts), []
-        self.listener = Listener(scheduler, ("127.0.0.1", 0), 99,
-                                 lambda stream: scheduler.spawn(self.link, stream))
+        self.listener = Listener(
+            scheduler, ("127.0.0.1", 0), 99, lambda stream: scheduler.spawn(self.link, stream)
+        )
         self.address = self.listener.sock.getsockname()
 
     def link(self, stream):
@@ -669,12 +676,19 @@
     run(scheduler, test)
 
 
-@pytest.mark.parametrize("spoilt", [
-    b"garbage\n", b'{"t":"EXIT","no":2,"rid":"a","status":"success","time_ms":NaN}\n',
-    b'{"t":"EXIT","no":1e999,"rid":"a","status":"success","time_ms":1}\n',
-    b'{"t":"METERS","mark":"7","v":["hot"]}\n', b'{"t":"METERS","mark":["7"],"v":[]}\n',
-    b'{"t":"EXIT","no":2,"rid":["a"],"status":"success","time_ms":1}\n',
-    b'{"t":"EXIT","no":2,"rid":"a","status":"success","time_ms":-1}\n', b"x" * 70000 + b"\n"])
+@pytest.mark.parametrize(
+    "spoilt",
+    [
+        b"garbage\n",
+        b'{"t":"EXIT","no":2,"rid":"a","status":"success","time_ms":NaN}\n',
+        b'{"t":"EXIT","no":1e999,"rid":"a","status":"success","time_ms":1}\n',
+        b'{"t":"METERS","mark":"7","v":["hot"]}\n',
+        b'{"t":"METERS","mark":["7"],"v":[]}\n',
+        b'{"t":"EXIT","no":2,"rid":["a"],"status":"success","time_ms":1}\n',
+        b'{"t":"EXIT","no":2,"rid":"a","status":"success","time_ms":-1}\n',
+        b"x" * 70000 + b"\n",
+    ],
+)
 def test_a_line_spoilt_for_good_does_not_keep_the_rest_from_coming(scheduler, spoilt):  # noqa: F811
     """Each new link brings it again: at the second time it is passed over, and what it was is in doubt."""
     script = WELCOME + EXIT % 1 + spoilt + EXIT % 3
@@ -701,17 +715,20 @@
 
     def test():
         ledger.call(1, 1, "ref", 5.0, b"")
-        over, = box.take_all(5.0)
+        (over,) = box.take_all(5.0)
         assert (over.number, over.outcome) == (1, Outcome.RESET) and not ledger.out
         FAILED.clear()
 
     run(scheduler, test)
 
 
-@pytest.mark.parametrize("head, endless", [
-    (b"", b"HTTP/1.1 102 Processing\r\n\r\n"),
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", b"x: y\r\n" * 999),
-])
+@pytest.mark.parametrize(
+    "head, endless",
+    [
+        (b"", b"HTTP/1.1 102 Processing\r\n\r\n"),
+        (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", b"x: y\r\n" * 999),
+    ],
+)
 def test_an_answer_without_an_end_that_never_makes_one_wait_keeps_nobody(scheduler, head, endless):  # noqa: F811
     listener = socket.create_server(("127.0.0.1", 0))
 
@@ -729,8 +746,9 @@
     got = []
 
     def test():
-        got.append(exchange(scheduler, listener.getsockname(), b"GET / HTTP/1.1\r\n\r\n",
-                            scheduler.clock() + 0.05))
+        got.append(
+            exchange(scheduler, listener.getsockname(), b"GET / HTTP/1.1\r\n\r\n", scheduler.clock() + 0.05)
+        )
 
     scheduler.call_later(8.0, scheduler.stop)
     run(scheduler, test)
@@ -755,7 +773,7 @@
             scheduler.sleep(0.02)
             second, _ = server.accept()
             second.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond")
-            over, = box.take_all(5.0)
+            (over,) = box.take_all(5.0)
             assert (over.attempt, over.body) == (2, b"second") and not ledger.out
             assert not box.take_all(0.05)
 
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -24,11 +24,14 @@
     assert found.broken is None and found.states >= 500
 
 
-@pytest.mark.parametrize("planted, bounds", [
-    (KeepsNoPromise, ex.Bounds(states=20_000, flying=4, term=2)),
-    (ActsOnPastItsLease, ex.Bounds(states=20_000, flying=4, term=2)),
-    (LeadsByAnyAnswer, ex.Bounds(states=20_000, flying=4, term=1)),
-])
+@pytest.mark.parametrize(
+    "planted, bounds",
+    [
+        (KeepsNoPromise, ex.Bounds(states=20_000, flying=4, term=2)),
+        (ActsOnPastItsLease, ex.Bounds(states=20_000, flying=4, term=2)),
+        (LeadsByAnyAnswer, ex.Bounds(states=20_000, flying=4, term=1)),
+    ],
+)
 def test_a_planted_fault_is_found_by_a_shortest_story_that_plays_again(planted, bounds):
     start = ex.led(planted)
     found = ex.explore(bounds, planted, start=start)
@@ -43,20 +46,29 @@
 def test_two_that_stand_at_once_share_no_voter_and_a_double_vote_makes_two_leaders():
     """A script, as the way there is longer than what is searched in a minute: a and b both stand in a
     term."""
+
     def play(make):
         world, broken = ex.begin(make), None
 
         def go(kind, text):
             nonlocal world, broken
-            number = next(n for n, (to, sender, what, _) in enumerate(world.flying)
-                          if f"{sender}->{to} {what}" == text)
+            number = next(
+                n for n, (to, sender, what, _) in enumerate(world.flying) if f"{sender}->{to} {what}" == text
+            )
             world, now = ex.act(world, (kind, number, text), make)
             broken = broken or now
 
         for name in "ab":
             world, _ = ex.act(world, ("tick", name, ""), make)
-        for text in ("a->c sound", "b->c sound", "c->a would", "c->b would", "a->c vote", "b->c vote",
-                     "c->a voted"):
+        for text in (
+            "a->c sound",
+            "b->c sound",
+            "c->a would",
+            "c->b would",
+            "a->c vote",
+            "b->c vote",
+            "c->a voted",
+        ):
             go("deliver", text)
         if any(kind == "voted" and to == "b" for to, _, kind, _ in world.flying):
             go("deliver", "c->b voted")
--- a/tests/test_fabric.py
+++ b/tests/test_fabric.py
@@ -170,8 +170,11 @@
 
     async def back():
         status = await fleet.status(others[1])
-        return status and status["role"] in ("follower", "leader") and len(
-            [m for m in status["members"] if m["state"] == "alive"]) == 3
+        return (
+            status
+            and status["role"] in ("follower", "leader")
+            and len([m for m in status["members"] if m["state"] == "alive"]) == 3
+        )
 
     await fleet.until(back)
     assert not fleet.world.two_under_one_fence()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -93,9 +93,17 @@
         assert play.lent > 30
 
 
-@pytest.mark.parametrize("holder, splitter", [
-    (CountsFromReceipt, fs.Splitter), (StartsSure, fs.Splitter), (ShortPromise, fs.Splitter),
-    (TakesOlder, fs.Splitter), (fs.Holder, LendsAtOnce), (fs.Holder, CountsUnsaid)])
+@pytest.mark.parametrize(
+    "holder, splitter",
+    [
+        (CountsFromReceipt, fs.Splitter),
+        (StartsSure, fs.Splitter),
+        (ShortPromise, fs.Splitter),
+        (TakesOlder, fs.Splitter),
+        (fs.Holder, LendsAtOnce),
+        (fs.Holder, CountsUnsaid),
+    ],
+)
 def test_a_planted_fault_of_shares_is_found_by_chance(holder, splitter):
     for seed in range(12):
         try:
@@ -105,11 +113,15 @@
     raise AssertionError("not found")
 
 
-@pytest.mark.parametrize("holder, splitter, bounds", [
-    (CountsFromReceipt, fs.Splitter, sh.Bounds(30_000, asks=3, steps=4)),
-    (StartsSure, fs.Splitter, sh.Bounds(30_000, restarts=1)),
-    (ShortPromise, fs.Splitter, sh.Bounds(30_000)),
-    (fs.Holder, LendsAtOnce, sh.Bounds(30_000, asks=3, steps=4))])
+@pytest.mark.parametrize(
+    "holder, splitter, bounds",
+    [
+        (CountsFromReceipt, fs.Splitter, sh.Bounds(30_000, asks=3, steps=4)),
+        (StartsSure, fs.Splitter, sh.Bounds(30_000, restarts=1)),
+        (ShortPromise, fs.Splitter, sh.Bounds(30_000)),
+        (fs.Holder, LendsAtOnce, sh.Bounds(30_000, asks=3, steps=4)),
+    ],
+)
 def test_a_planted_fault_of_shares_is_found_by_a_shortest_story(holder, splitter, bounds):
     found = sh.explore(bounds, holder, splitter, sh.lent)
     assert found.broken == "the sum of shares is under the cap" and len(sh.tell(found.story)) <= 8
@@ -240,8 +252,13 @@
 
 def test_words_that_can_t_be_read_found_nothing():
     one = founding.Founding("a", 1, 0, ["a", "b"])
-    for row, would in ((None, None), (["b", "x", 0], None), (["c", 1, 0], None), (["b", 1, 0], [["b"]]),
-                       (["b", 1, 0], [["b", 1, 0], ["a", 1, 0]])):
+    for row, would in (
+        (None, None),
+        (["b", "x", 0], None),
+        (["c", 1, 0], None),
+        (["b", 1, 0], [["b"]]),
+        (["b", 1, 0], [["b", 1, 0], ["a", 1, 0]]),
+    ):
         assert one.hear("b", row, would, True) is None
     assert one.hear("z", ["z", 1, 0], None, False) is None and "z" not in one.heard
 
@@ -293,8 +310,11 @@
 
 def test_numbers_that_do_not_rise_are_found(monkeypatch):
     plain_apply = ow.Facts.apply
-    monkeypatch.setattr(ow.Facts, "apply", lambda facts, fact: plain_apply(
-        facts._replace(fence=0) if fact[0] == "grant" else facts, fact))
+    monkeypatch.setattr(
+        ow.Facts,
+        "apply",
+        lambda facts, fact: plain_apply(facts._replace(fence=0) if fact[0] == "grant" else facts, fact),
+    )
     with pytest.raises(AssertionError):
         overtaken()  # b is granted what a had
     world, broken = ex.led(), None
@@ -318,8 +338,12 @@
 
     def command(fence, **environment):
         return subprocess.run(
-            [sys.executable, "-m", "valeturn", "fleet", "fenced-replace", str(file), *fence], input=b"three",
-            cwd=ROOT, env={**os.environ, **environment}, capture_output=True)
+            [sys.executable, "-m", "valeturn", "fleet", "fenced-replace", str(file), *fence],
+            input=b"three",
+            cwd=ROOT,
+            env={**os.environ, **environment},
+            capture_output=True,
+        )
 
     assert command(["--fence", "4"]).returncode == 3 and file.read_bytes() == b"two"
     assert command([], VALETURN_FENCE="6").returncode == 0 and file.read_bytes() == b"three"
@@ -333,13 +357,16 @@
     kept = ow.Kept(3, "n1", 2, 1, facts, (ow.Entry(3, ("begin",)),), False)
     data = votes.encode("lab", "n1", "127.0.0.1:1", 5, kept)
     assert votes.decode(data, "lab", "n1", "127.0.0.1:1") == (5, kept)
-    for fleet, name, address in (("other", "n1", "127.0.0.1:1"), ("lab", "n2", "127.0.0.1:1"),
-                                 ("lab", "n1", "127.0.0.1:2")):
+    for fleet, name, address in (
+        ("other", "n1", "127.0.0.1:1"),
+        ("lab", "n2", "127.0.0.1:1"),
+        ("lab", "n1", "127.0.0.1:2"),
+    ):
         with pytest.raises(votes.Refused, match="belongs to"):
             votes.decode(data, fleet, name, address)
     for at in range(len(data)):
         with pytest.raises(votes.Refused):
-            votes.decode(data[:at] + bytes((data[at] ^ 1,)) + data[at + 1:], "lab", "n1", "127.0.0.1:1")
+            votes.decode(data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :], "lab", "n1", "127.0.0.1:1")
     folder, other = votes.Folder(tmp_path / "v"), votes.Folder(tmp_path / "v")
     folder.take()
     with pytest.raises(votes.Refused, match="another process"):
@@ -355,19 +382,25 @@
 # ---- the operator's file
 
 
-@pytest.mark.parametrize("text, rule, line", [
-    (GOOD.replace("n1, n2, n3", "n1, n2"), "even-voters", 5),
-    (GOOD.replace("n1, n2, n3", "n1, n2, n1"), "doubled-name", 5),
-    (GOOD.replace("1 s", "5 s"), "lease-past-suspicion", 6),
-    (GOOD.replace("seeds = 127.0.0.1:7701", "seeds = 127.0.0.1:7700"), "only-itself", 4),
-    (GOOD.replace("127.0.0.1:7701", "peer.example:7701"), "unreadable-value", 4),
-    (GOOD + "largest = 2\n", "too-small", 7),
-    (GOOD + "[duty x]\ndo = run\nfenced = number\n", "missing-key", 8),
-    (GOOD + "[duty x]\ndo = run\ncommand = true\n", "unfenced", 7),
-    (GOOD + "[duty x]\ndo = share-calls\ncap = 5\nevery = 1 s\n", "no-use", 10),
-    (GOOD + "[duty x]\ndo = run\ncommand = true\nfenced = clock\nevery = 1 s\nmost = 2 s\n",
-     "over-every", 12),
-])
+@pytest.mark.parametrize(
+    "text, rule, line",
+    [
+        (GOOD.replace("n1, n2, n3", "n1, n2"), "even-voters", 5),
+        (GOOD.replace("n1, n2, n3", "n1, n2, n1"), "doubled-name", 5),
+        (GOOD.replace("1 s", "5 s"), "lease-past-suspicion", 6),
+        (GOOD.replace("seeds = 127.0.0.1:7701", "seeds = 127.0.0.1:7700"), "only-itself", 4),
+        (GOOD.replace("127.0.0.1:7701", "peer.example:7701"), "unreadable-value", 4),
+        (GOOD + "largest = 2\n", "too-small", 7),
+        (GOOD + "[duty x]\ndo = run\nfenced = number\n", "missing-key", 8),
+        (GOOD + "[duty x]\ndo = run\ncommand = true\n", "unfenced", 7),
+        (GOOD + "[duty x]\ndo = share-calls\ncap = 5\nevery = 1 s\n", "no-use", 10),
+        (
+            GOOD + "[duty x]\ndo = run\ncommand = true\nfenced = clock\nevery = 1 s\nmost = 2 s\n",
+            "over-every",
+            12,
+        ),
+    ],
+)
 def test_what_is_wrong_with_a_fleet_is_told_by_line_and_rule(text, rule, line):
     options, faults = schema.check(text, "v.ini", SHAPES)
     assert options is None and [(one.rule, one.line) for one in faults] == [(rule, line)], faults
@@ -395,8 +428,11 @@
 
 
 def run_guard(command, lines, patience="0.2", wait=5.0):
-    process = subprocess.Popen([sys.executable, "-I", "-S", guard.__file__, patience, command],
-                               stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+    process = subprocess.Popen(
+        [sys.executable, "-I", "-S", guard.__file__, patience, command],
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+    )
     for line in lines:
         process.stdin.write(line)
         process.stdin.flush()
@@ -443,8 +479,9 @@
         def hear(message, at):
             heard.append((name, message.sender, message.kind))
 
-        return links.Links(scheduler, "lab", f"127.77.0.1:{port}", lambda: (name, 1), hear, Chance(port),
-                           count)
+        return links.Links(
+            scheduler, "lab", f"127.77.0.1:{port}", lambda: (name, 1), hear, Chance(port), count
+        )
 
     a, b = make("a", 4301), make("b", 4302)
 
@@ -455,10 +492,12 @@
         for _ in range(300):  # more than may wait at once, in one turn: the oldest go
             a.send("127.77.0.1:4302", "news", ["x" * 9000])
         scheduler.sleep(0.3)
-        for data in (wire.encode("other", "c", 1, "hello", ["127.77.0.1:9"]), b"\0" * 64,
-                     wire.encode("lab", "c", 1, "ping", []),
-                     wire.encode("lab", "c", 5, "hello", ["127.77.0.1:9"])
-                     + wire.encode("lab", "c", 4, "ping", [])):
+        for data in (
+            wire.encode("other", "c", 1, "hello", ["127.77.0.1:9"]),
+            b"\0" * 64,
+            wire.encode("lab", "c", 1, "ping", []),
+            wire.encode("lab", "c", 5, "hello", ["127.77.0.1:9"]) + wire.encode("lab", "c", 4, "ping", []),
+        ):
             sock = socket.create_connection(("127.77.0.1", 4302))
             sock.sendall(data)
             scheduler.sleep(0.05)
@@ -471,14 +510,20 @@
     scheduler.spawn(play)
     scheduler.run()
     assert ("b", "a", "ping") in heard and ("a", "b", "ping") in heard
-    assert {"fleet.refused.other_fleet", "fleet.refused.damaged", "fleet.refused.no_hello",
-            "fleet.refused.earlier_life"} <= set(counted), counted
+    assert {
+        "fleet.refused.other_fleet",
+        "fleet.refused.damaged",
+        "fleet.refused.no_hello",
+        "fleet.refused.earlier_life",
+    } <= set(counted), counted
     news = sum(kind == "news" for _, _, kind in heard)
     assert news + counted.get("fleet.dropped", 0) == 300 and news >= 128
 
 
 def test_nothing_of_a_fleet_is_loaded_without_its_section(tmp_path):
-    code = ("import sys; from valeturn.program import commands, parts, server; "
-            "print([name for name in sys.modules if name.startswith('valeturn.fleet')])")
+    code = (
+        "import sys; from valeturn.program import commands, parts, server; "
+        "print([name for name in sys.modules if name.startswith('valeturn.fleet')])"
+    )
     done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
     assert done.stdout.strip() == "[]", done.stderr
--- a/tests/test_fleet_trial.py
+++ b/tests/test_fleet_trial.py
@@ -59,9 +59,17 @@
     code = TRACED + before + "\nsys.argv = ['valeturn']\nrunpy.run_module('valeturn', run_name='__main__')\n"
     run = subprocess.Popen(
         ["/bin/sh", "-c", f"exec {shlex.quote(sys.executable)} -c {shlex.quote(code)}"],
-        cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True,
-        env={"PATH": os.environ["PATH"], "EDGE_CONFIG": str(tmp_path / "config.json"),
-             "TMPDIR": str(tmp_path / "only"), "PYTHONDONTWRITEBYTECODE": "1"})
+        cwd=ROOT,
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        text=True,
+        env={
+            "PATH": os.environ["PATH"],
+            "EDGE_CONFIG": str(tmp_path / "config.json"),
+            "TMPDIR": str(tmp_path / "only"),
+            "PYTHONDONTWRITEBYTECODE": "1",
+        },
+    )
     while "event=listening" not in (line := run.stderr.readline()):
         assert line, run.communicate()
     pid_is_the_shell_s = os.readlink(f"/proc/{run.pid}/exe") == os.path.realpath(sys.executable)
@@ -86,9 +94,17 @@
 
 def test_the_deploy_file_names_all_that_a_server_loads():
     done = subprocess.run(
-        [sys.executable, "-c", "import valeturn.program.commands, valeturn.program.server, sys; print(*("
-         "m.__file__ for n, m in sorted(sys.modules.items()) if n.split('.')[0] == 'valeturn'))"],
-        cwd=ROOT, capture_output=True, text=True, check=True)
+        [
+            sys.executable,
+            "-c",
+            "import valeturn.program.commands, valeturn.program.server, sys; print(*("
+            "m.__file__ for n, m in sorted(sys.modules.items()) if n.split('.')[0] == 'valeturn'))",
+        ],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        check=True,
+    )
     with open(ROOT / "deploy" / "balancer.toml", "rb") as file:
         deploy = tomllib.load(file)
     for path in done.stdout.split():
@@ -183,7 +199,7 @@
         assert all(0 <= n < 20 for restart in day.restarts for n in restart.gateways)
     gone = days.draw("join", 4, 40, 20, 40.0).outs
     assert sum(len(out.servers) for out in gone) == 24 and gone[-1].at - gone[0].at <= 7.0
-    restart, = days.draw("herd", 4, 40, 20, 40.0).restarts
+    (restart,) = days.draw("herd", 4, 40, 20, 40.0).restarts
     assert len(restart.gateways) == 14 and restart.over == 1.0
     assert days.draw("split", 4, 40, 20, 40.0).list_lag[0] >= 5.0
 
@@ -200,8 +216,11 @@
         if self.fault == "silent":
             out = [a for a in out if not isinstance(a, (it.WriteOff, it.TurnBack))]
         elif self.fault == "again":
-            out += [it.TurnBack(a.id, 0.0, False) for a in out if isinstance(a, it.Start)
-                    and self.live[a.id].workload == 2]
+            out += [
+                it.TurnBack(a.id, 0.0, False)
+                for a in out
+                if isinstance(a, it.Start) and self.live[a.id].workload == 2
+            ]
         return out
 
 
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -18,19 +18,35 @@
     assert outcomes.count(floods.DELIVERED) > 300 and sum(server.life for server in world.servers) > 4
 
 
-@pytest.mark.parametrize("fault, found", [
-    ("""from valeturn.program.server import Server
-Server.drain = lambda self: self.scheduler.stop()""", "lost"),
-    ("""from valeturn.routing.repeats import Repeats
-Repeats.repeated = lambda *_: None""", "twice"),
-    ("""import signal
+@pytest.mark.parametrize(
+    "fault, found",
+    [
+        (
+            """from valeturn.program.server import Server
+Server.drain = lambda self: self.scheduler.stop()""",
+            "lost",
+        ),
+        (
+            """from valeturn.routing.repeats import Repeats
+Repeats.repeated = lambda *_: None""",
+            "twice",
+        ),
+        (
+            """import signal
 from valeturn.transport import held
 held.hold = lambda: None
 from valeturn.transport.signals import Signals
-Signals.run = lambda self: signal.signal(signal.SIGTERM, signal.SIG_DFL)""", "crashed"),
-    ("""from valeturn.routing.gateways import Connection
+Signals.run = lambda self: signal.signal(signal.SIGTERM, signal.SIG_DFL)""",
+            "crashed",
+        ),
+        (
+            """from valeturn.routing.gateways import Connection
 take = Connection.take
-Connection.take = lambda self, m, w=(): 1 / 0 if m.stream == 9 else take(self, m, w)""", "faults")])
+Connection.take = lambda self, m, w=(): 1 / 0 if m.stream == 9 else take(self, m, w)""",
+            "faults",
+        ),
+    ],
+)
 def test_the_same_witness_finds_each_planted_fault(tmp_path, fault, found):
     serve = ("-c", PLANTED.format(fault=fault), "serve", "--config")
     kinds = (floods.Server.restart, floods.Server.flood)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -137,10 +137,10 @@
     """Sooner where the call can be made again."""
     m = model(calls_share=20.0)
     m.batch(0.1, arrive(1, workload), arrive(2, workload))
-    first, = [a for a in m.batch(0.2, it.AtCall(1)) if isinstance(a, it.Call)]
+    (first,) = [a for a in m.batch(0.2, it.AtCall(1)) if isinstance(a, it.Call)]
     assert first.wait == pytest.approx(means * 0.025), "nothing is known yet"
     m.batch(0.23, it.CallEnded(1, it.Outcome.DONE, 0.03))
-    second, = [a for a in m.batch(0.3, it.AtCall(2)) if isinstance(a, it.Call)]
+    (second,) = [a for a in m.batch(0.3, it.AtCall(2)) if isinstance(a, it.Call)]
     assert second.wait == pytest.approx(means * 0.03)
     m.batch(1.1, it.CallEnded(2, it.Outcome.TIMED_OUT, 0.8))
     assert m.rules.least_wait() == pytest.approx(4 * 0.415, rel=0.05)
@@ -189,7 +189,7 @@
     for n in range(1, 41):
         silent = n in (10, 30)
         m.batch(now + 0.01, arrive(n, FILE, left=4.0))
-        call, = [a for a in m.batch(now + 0.02, it.AtCall(n)) if isinstance(a, it.Call)]
+        (call,) = [a for a in m.batch(now + 0.02, it.AtCall(n)) if isinstance(a, it.Call)]
         took = call.wait if silent else 0.01
         m.batch(now + 0.02 + took, it.CallEnded(n, it.Outcome.TIMED_OUT if silent else it.Outcome.DONE, took))
         m.batch(now + 0.03 + took, it.Ended(n, it.Outcome.CANCELLED if silent else it.Outcome.DONE, 0.02))
@@ -198,7 +198,7 @@
     given_up = 0
     for n in range(41, 61):
         m.batch(now + 0.01, arrive(n, FILE, left=4.0))
-        call, = [a for a in m.batch(now + 0.02, it.AtCall(n)) if isinstance(a, it.Call)]
+        (call,) = [a for a in m.batch(now + 0.02, it.AtCall(n)) if isinstance(a, it.Call)]
         given_up += call.wait < 1.0
         took, outcome = (call.wait, it.Outcome.TIMED_OUT) if call.wait < 1.0 else (1.0, it.Outcome.DONE)
         m.batch(now + 0.02 + took, it.CallEnded(n, outcome, took))
@@ -255,7 +255,7 @@
     m = model(calls_share=90.0, workloads=with_late_share(share))
     slow_call(m, took=1.9)
     m.batch(2.0, arrive(1, FILE, left=5.0))
-    call, = [a for a in m.batch(2.01, it.AtCall(1)) if isinstance(a, it.Call)]
+    (call,) = [a for a in m.batch(2.01, it.AtCall(1)) if isinstance(a, it.Call)]
     assert call.wait == pytest.approx(until_ - 0.01)
 
 
--- a/tests/test_keyed.py
+++ b/tests/test_keyed.py
@@ -203,9 +203,9 @@
     _, file = world.arrive(workload="file", mark=None, do=[it.Start])
     world.restart()
     world.ends.turn(over(call, result=b"from before"), over(file, number=2), lines.Gauged(REPLAY_END, ()))
-    assert (
-        world.ends.counts["executor.run_of_none"] == 1
-    ), "an unrepeatable one ends there; nothing runs again"
+    assert world.ends.counts["executor.run_of_none"] == 1, (
+        "an unrepeatable one ends there; nothing runs again"
+    )
     assert world.commands() == []
     caller = Caller()
     world.arrive(caller=caller, do=[it.AnswerFrom])
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -116,9 +116,9 @@
         gains.append(with_them.worth - without.worth)
     assert sum(gains) > 100, "over the seeds: since the module itself leaves calls out early, not on each"
     calm = [levels.play("steady", 3, 40.0, on, 5) for on in (False, True)]
-    assert (
-        calm[1].changes == 0 and calm[0].line() == calm[1].line()
-    ), "no level entered: the same to the digit"
+    assert calm[1].changes == 0 and calm[0].line() == calm[1].line(), (
+        "no level entered: the same to the digit"
+    )
 
 
 def test_the_emulator_plays_the_same_seed_the_same_and_loses_no_submission():
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -29,7 +29,7 @@
     package = ("valeturn", *path.relative_to(ROOT).parts[:-1])
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.level:
-            base = package[:len(package) - node.level + 1]
+            base = package[: len(package) - node.level + 1]
             names = [*base, *(node.module or "").split(".")] if node.module else list(base)
             whole = [names] if len(names) > 1 else [[*names, one.name] for one in node.names]
             for one in whole:
@@ -48,5 +48,6 @@
 def test_the_check_sees_what_it_should():
     seen = {name for name, _ in imported(ROOT / "program" / "server.py")}
     assert {"routing", "transport", "rules"} <= seen
-    assert "lab" not in {name for path in ROOT.rglob("*.py") if "lab" not in path.parts
-                         for name, _ in imported(path)}
+    assert "lab" not in {
+        name for path in ROOT.rglob("*.py") if "lab" not in path.parts for name, _ in imported(path)
+    }
--- a/tests/test_levels.py
+++ b/tests/test_levels.py
@@ -174,9 +174,9 @@
 def test_one_rank_at_a_time_but_straight_to_the_worst_in_an_emergency():
     decision = d.Decision(levels(), 0.0)
     assert names(play(decision, lambda t: {"cores.busy": 0.85 if t < 2 else 0.99}, 5)) == ["slim", "thin"]
-    assert names(play(decision, lambda t: {"cores.busy": 0.5}, 10, 3.0)) == [
-        None
-    ], "both leave conditions hold"
+    assert names(play(decision, lambda t: {"cores.busy": 0.5}, 10, 3.0)) == [None], (
+        "both leave conditions hold"
+    )
     decision = d.Decision(levels(), 0.0)
     assert names(play(decision, lambda t: {"memory": 0.99}, 1)) == ["bare"]
     assert names(play(decision, lambda t: {"memory": 0.1, "cores.busy": 0.75}, 9, 1.0)) == ["thin"]
@@ -234,9 +234,9 @@
     assert names(play(decision, lambda t: {"cores.busy": 0.85}, 1, 13.0)) == [None]
     play(decision, lambda t: {"cores.busy": 0.99}, 3, 14.0)
     decision.put([level._replace(name="other") if level.name == "thin" else level for level in levels()])
-    assert (
-        names(play(decision, lambda t: {"cores.busy": 0.99}, 3, 17.0))[0] is None
-    ), "renamed: left, then entered"
+    assert names(play(decision, lambda t: {"cores.busy": 0.99}, 3, 17.0))[0] is None, (
+        "renamed: left, then entered"
+    )
     assert decision.at == "other"
 
 
@@ -433,8 +433,10 @@
     m = Model(Rules(s, 1, 0.0), s)
     m.batch(0.0)
     m.batch(0.1, *[it.Arrived(n, n % 3 and 2, left=2.9, cost_hint=0.2, subject=f"k{n}") for n in range(1, 5)])
-    events = {"level": it.Level(it.Reduced(turn_back=frozenset((0,)), without_call=frozenset((0,)))),
-              "leave": it.Leave(2.5)}
+    events = {
+        "level": it.Level(it.Reduced(turn_back=frozenset((0,)), without_call=frozenset((0,)))),
+        "leave": it.Leave(2.5),
+    }
     m.batch(0.2, events.pop(first))
     m.batch(0.25, it.AtCall(next(iter(n for n, sub in m.subs.items() if sub["at"] == "running"))))
     m.batch(0.3, *events.values())
--- a/tests/test_marks.py
+++ b/tests/test_marks.py
@@ -47,9 +47,11 @@
 def test_two_of_one_mark_and_another_body_in_one_turn_do_not_both_run():
     ends, caller, copier = Ends(), Caller(), Caller()
     base = frames.Submitted(1, "0" * 16, "book", "a", 0.0, 2.0, 0.1, 8.0, 0.5, 1, None, "m", False, b"body")
-    ends.turn(msg.Arrival(caller, base),
-              msg.Arrival(copier, base._replace(stream=2, call="1" * 16, body=b"other")),
-              do=[it.Remember(1, 8.0), it.Start(1)])
+    ends.turn(
+        msg.Arrival(caller, base),
+        msg.Arrival(copier, base._replace(stream=2, call="1" * 16, body=b"other")),
+        do=[it.Remember(1, 8.0), it.Start(1)],
+    )
     assert codes(copier) == [TURNED_BACK] and list(ends.core.open) == [1]
 
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -40,7 +40,7 @@
     good = wire.encode("f", "n", 3, "ping", [1, [["é", 2]]])
     decoder, out = wire.Decoder("f"), []
     for start in range(0, len(good + data), step):
-        out += decoder.feed((good + data)[start:start + step])
+        out += decoder.feed((good + data)[start : start + step])
     assert out[0] == wire.Message("n", 3, "ping", [1, [["é", 2]]])
     assert sum(isinstance(one, wire.Fault) for one in out) <= 1
     assert not any(isinstance(one, wire.Fault) for one in out[:-1]), "nothing comes after the first"
@@ -105,7 +105,7 @@
     member = make()
     tell(member, news("b", ms.ALIVE), news("a", ms.SUSPECTED, accuser="b"))
     assert (member.me.incarnation, member.doubt) == (1, 1)
-    (*_, sent), = [one for one in member.hear(1.1, "b", 5, "ping", [7, [news("b", ms.ALIVE)]], "b:1")]
+    ((*_, sent),) = [one for one in member.hear(1.1, "b", 5, "ping", [7, [news("b", ms.ALIVE)]], "b:1")]
     assert sent[0] == 7 and sent[-1][0] == member.me.news(), "with its answer"
     tell(member, news("a", ms.GONE, incarnation=1))
     assert member.me.incarnation == 2 and member.alive() == ["a", "b"]
@@ -155,10 +155,19 @@
 
 
 @FAST
-@given(st.lists(st.tuples(
-    st.sampled_from(["ping", "ask", "ack", "heard", "nack", "sync", "news", "odd"]),
-    st.recursive(st.one_of(st.none(), st.booleans(), st.integers(), st.text(max_size=3)),
-                 lambda inner: st.lists(inner, max_size=4), max_leaves=12)), max_size=12))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from(["ping", "ask", "ack", "heard", "nack", "sync", "news", "odd"]),
+            st.recursive(
+                st.one_of(st.none(), st.booleans(), st.integers(), st.text(max_size=3)),
+                lambda inner: st.lists(inner, max_size=4),
+                max_leaves=12,
+            ),
+        ),
+        max_size=12,
+    )
+)
 def test_no_message_breaks_it(messages):
     member = make()
     tell(member, news("b", ms.ALIVE), news("c", ms.ALIVE))
@@ -186,8 +195,10 @@
     member = make()
     for number in range(MEMBERS):
         tell(member, ["n%060d" % number, "x" * 64, "y" * 64, "z" * 64, 2**61, 2**61, ms.ALIVE])
-    for _, _, kind, fields in [*member.hear(1.0, "n%060d" % 1, 2**61, "sync", [True, [], []], "x"),
-                               *member.tick(9.0)]:
+    for _, _, kind, fields in [
+        *member.hear(1.0, "n%060d" % 1, 2**61, "sync", [True, [], []], "x"),
+        *member.tick(9.0),
+    ]:
         assert len(wire.encode("f" * 64, "n" * 64, 2**61, kind, fields)) <= MESSAGE
 
 
@@ -227,8 +238,12 @@
 def test_a_cut_heals_and_both_sides_find_each_other(one_way):
     net = joined(8, 3)
     apart = {f"n{n}" for n in (3, 4, 5)}
-    net.cut = lambda one, other: one.name not in apart and other.name in apart or not one_way and (
-        one.name in apart and other.name not in apart)
+    net.cut = lambda one, other: (
+        one.name not in apart
+        and other.name in apart
+        or not one_way
+        and (one.name in apart and other.name not in apart)
+    )
     net.run(net.now + 60)
     if not one_way:
         assert net.nodes[0].membership.alive() == sorted(set(n.name for n in net.nodes) - apart)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -37,13 +37,21 @@
             workload = chance.randrange(len(s.workloads))
             key, waited = f"k{chance.randrange(12)}", chance.random() * 0.1
             same = s.workloads[workload].effect is DEDUPLICATED
-            events.append(it.Arrived(
-                id=number, workload=workload, tenant=chance.randrange(2) if s.tenants else None,
-                waited=waited, subject=key, caller=chance.randrange(2), memory=chance.uniform(2, 30),
-                left=chance.choice((None, chance.uniform(0.0, 3.0))),
-                repeats=model.first_try(key, now - waited) if same else None,
-                cost_hint=chance.choice((None, chance.uniform(0.01, 2.0))),
-                room_in=chance.choice((0.0, 0.0, 0.0, 0.3, 9.0)) if same else 0.0))
+            events.append(
+                it.Arrived(
+                    id=number,
+                    workload=workload,
+                    tenant=chance.randrange(2) if s.tenants else None,
+                    waited=waited,
+                    subject=key,
+                    caller=chance.randrange(2),
+                    memory=chance.uniform(2, 30),
+                    left=chance.choice((None, chance.uniform(0.0, 3.0))),
+                    repeats=model.first_try(key, now - waited) if same else None,
+                    cost_hint=chance.choice((None, chance.uniform(0.01, 2.0))),
+                    room_in=chance.choice((0.0, 0.0, 0.0, 0.3, 9.0)) if same else 0.0,
+                )
+            )
             if same:  # two tries that come in one batch would know of each other; here one a batch is enough
                 break
         for number_of, sub in list(model.subs.items()):
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -44,8 +44,17 @@
 
     for number in range(3 * len(s.workloads)):
         index = number % len(s.workloads)
-        batch(it.Arrived(number, index, tenant=0 if s.tenants else None, memory=8.0, left=5.0, cost_hint=0.1,
-                         subject=None if number % 2 else "k"))
+        batch(
+            it.Arrived(
+                number,
+                index,
+                tenant=0 if s.tenants else None,
+                memory=8.0,
+                left=5.0,
+                cost_hint=0.1,
+                subject=None if number % 2 else "k",
+            )
+        )
         if (it.Start, number) in did:
             batch(it.AtCall(number))
             if (it.Call, number) in did:
@@ -60,23 +69,47 @@
     return did
 
 
-SMALLEST = {
-    "request_classes": [{"name": "x"}]}
-
-
-@pytest.mark.parametrize("path, value", [
-    ("domain", ...), ("rules", ...), ("allowed", ...), ("tenants", ...), ("tenants", []), ("servers", 0),
-    ("domain.calls_out", 0), ("domain.calls_out", ...), ("domain.calls_over_ms", ...),
-    ("domain.calls_over_ms", 0), ("domain.key_kb", 0), ("domain.run_mem_factor", 0.5),
-    ("domain.heap_kb", 0.5),
-    ("rules.cold_ms", 0), ("rules.start_capacity", 0), ("rules.overload_factor", 1), ("tick_ms", 0),
-    ("rules.drain_grace_ms", 0), ("rules.grace_to_answer_ms", 0), ("domain.linger_ms", 0),
-    ("domain.cpus", 1),
-    ("domain.gauges", []), ("domain.gauges", ["odd", "odd"]),
-    ("domain.halt", "odd"), ("domain.say", "credit"),
-    ("request_classes.1.goal_time_ms", 9000), ("request_classes.0.semantics", "keyed"),
-    ("request_classes.0.worth", 0), ("request_classes.0.window_ms", 0), ("tenants.0.allowance_per_s", 0),
-    ("over_share_worth", 0), ("domain.degraded_worth", [None]), ("domain.calls_by_class", [])])
+SMALLEST = {"request_classes": [{"name": "x"}]}
+
+
+@pytest.mark.parametrize(
+    "path, value",
+    [
+        ("domain", ...),
+        ("rules", ...),
+        ("allowed", ...),
+        ("tenants", ...),
+        ("tenants", []),
+        ("servers", 0),
+        ("domain.calls_out", 0),
+        ("domain.calls_out", ...),
+        ("domain.calls_over_ms", ...),
+        ("domain.calls_over_ms", 0),
+        ("domain.key_kb", 0),
+        ("domain.run_mem_factor", 0.5),
+        ("domain.heap_kb", 0.5),
+        ("rules.cold_ms", 0),
+        ("rules.start_capacity", 0),
+        ("rules.overload_factor", 1),
+        ("tick_ms", 0),
+        ("rules.drain_grace_ms", 0),
+        ("rules.grace_to_answer_ms", 0),
+        ("domain.linger_ms", 0),
+        ("domain.cpus", 1),
+        ("domain.gauges", []),
+        ("domain.gauges", ["odd", "odd"]),
+        ("domain.halt", "odd"),
+        ("domain.say", "credit"),
+        ("request_classes.1.goal_time_ms", 9000),
+        ("request_classes.0.semantics", "keyed"),
+        ("request_classes.0.worth", 0),
+        ("request_classes.0.window_ms", 0),
+        ("tenants.0.allowance_per_s", 0),
+        ("over_share_worth", 0),
+        ("domain.degraded_worth", [None]),
+        ("domain.calls_by_class", []),
+    ],
+)
 def test_what_the_pages_allow_starts_and_decides(path, value):
     c = configuration.decode(changed("settings." + path, value))
     assert c.names.settings.workloads and day(c.names)
@@ -88,16 +121,26 @@
     assert c.names.settings.workloads[1].latency_goal == 1.5
 
 
-@pytest.mark.parametrize("path, value, field", [
-    ("settings.servers", "many", "servers"), ("settings.request_classes.0.worth", "1", "worth"),
-    ("settings.request_classes.0.give_up_ms", True, "give_up_ms"),
-    ("settings.request_classes.2.window_ms", 10**400, "window_ms"),
-    ("settings.domain.calls_out", float("nan"), "calls_out"), ("settings.domain.gauges", "busy", "gauges"),
-    ("settings.domain.degraded_worth", ["much"], "degraded_worth"), ("settings.domain", [], "domain"),
-    ("settings.tenants", {"a": 1}, "tenants"), ("settings.tenants.0.name", 7, "tenants[0].name"),
-    ("settings.rules.overload_factor", float("inf"), "overload_factor"), ("name", "名", "name"),
-    ("listen", "h:" + "9" * 5000, "listen"), ("stop_ms", 10**400, "stop_ms"),
-    ("limits.cores", float("nan"), "limits.cores")])
+@pytest.mark.parametrize(
+    "path, value, field",
+    [
+        ("settings.servers", "many", "servers"),
+        ("settings.request_classes.0.worth", "1", "worth"),
+        ("settings.request_classes.0.give_up_ms", True, "give_up_ms"),
+        ("settings.request_classes.2.window_ms", 10**400, "window_ms"),
+        ("settings.domain.calls_out", float("nan"), "calls_out"),
+        ("settings.domain.gauges", "busy", "gauges"),
+        ("settings.domain.degraded_worth", ["much"], "degraded_worth"),
+        ("settings.domain", [], "domain"),
+        ("settings.tenants", {"a": 1}, "tenants"),
+        ("settings.tenants.0.name", 7, "tenants[0].name"),
+        ("settings.rules.overload_factor", float("inf"), "overload_factor"),
+        ("name", "名", "name"),
+        ("listen", "h:" + "9" * 5000, "listen"),
+        ("stop_ms", 10**400, "stop_ms"),
+        ("limits.cores", float("nan"), "limits.cores"),
+    ],
+)
 def test_what_they_do_not_ends_in_one_line_that_names_the_key(path, value, field):
     with pytest.raises(configuration.Wrong) as wrong:
         configuration.decode(changed(path, value))
@@ -107,24 +150,63 @@
 def test_a_wrong_file_ends_a_start_at_once_with_code_2_and_one_line(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(changed("settings.domain.cpus", "six")))
-    done = subprocess.run([sys.executable, "-m", "valeturn", "serve", "--config", str(path)], cwd=ROOT,
-                          capture_output=True, text=True, timeout=20)
+    done = subprocess.run(
+        [sys.executable, "-m", "valeturn", "serve", "--config", str(path)],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=20,
+    )
     assert (done.returncode, done.stderr.count("\n")) == (2, 1) and "settings.domain.cpus" in done.stderr
 
 
 PLACES = [
-    "servers", "tick_ms", "counted_by", "request_classes", "request_classes.0", "request_classes.0.name",
-    "request_classes.0.semantics", "request_classes.1.goal_time_ms", "request_classes.1.give_up_ms",
-    "request_classes.2.worth", "request_classes.2.window_ms", "request_classes.0.aim_stretch", "tenants",
-    "tenants.0", "tenants.0.name", "tenants.0.allowance_per_s", "rules", "rules.cold_ms", "domain",
-    "rules.overload_factor", "rules.drain_grace_ms", "allowed", "allowed.max_retry_after_ms", "domain.cpus",
-    "domain.heap_kb", "domain.halt", "domain.say", "domain.gauges", "domain.calls_out", "domain.linger_ms",
-    "domain.calls_over_ms", "domain.calls_by_class", "domain.degraded_worth", "domain.fresh_ms"]
+    "servers",
+    "tick_ms",
+    "counted_by",
+    "request_classes",
+    "request_classes.0",
+    "request_classes.0.name",
+    "request_classes.0.semantics",
+    "request_classes.1.goal_time_ms",
+    "request_classes.1.give_up_ms",
+    "request_classes.2.worth",
+    "request_classes.2.window_ms",
+    "request_classes.0.aim_stretch",
+    "tenants",
+    "tenants.0",
+    "tenants.0.name",
+    "tenants.0.allowance_per_s",
+    "rules",
+    "rules.cold_ms",
+    "domain",
+    "rules.overload_factor",
+    "rules.drain_grace_ms",
+    "allowed",
+    "allowed.max_retry_after_ms",
+    "domain.cpus",
+    "domain.heap_kb",
+    "domain.halt",
+    "domain.say",
+    "domain.gauges",
+    "domain.calls_out",
+    "domain.linger_ms",
+    "domain.calls_over_ms",
+    "domain.calls_by_class",
+    "domain.degraded_worth",
+    "domain.fresh_ms",
+]
 VALUES = st.one_of(
-    st.none(), st.booleans(), st.integers(-2, 10**20), st.floats(), st.sampled_from(
-        [0, 1, 1e-9, 0.3, 8, 1500, 1e14, "keyed", "safe", "unsafe", "drop", "pause", "credit", "", "x"]),
+    st.none(),
+    st.booleans(),
+    st.integers(-2, 10**20),
+    st.floats(),
+    st.sampled_from(
+        [0, 1, 1e-9, 0.3, 8, 1500, 1e14, "keyed", "safe", "unsafe", "drop", "pause", "credit", "", "x"]
+    ),
     st.lists(st.one_of(st.integers(-1, 3), st.sampled_from(["cpu_busy", None, 0.5])), max_size=3),
-    st.dictionaries(st.sampled_from(["name", "worth"]), st.integers(0, 3), max_size=2))
+    st.dictionaries(st.sampled_from(["name", "worth"]), st.integers(0, 3), max_size=2),
+)
 
 
 @QUICK
@@ -135,8 +217,11 @@
         *way, last = path.split(".")
         at = raw["settings"]
         for step in way:
-            at = at[int(step)] if isinstance(at, list) and step.isdigit() and int(step) < len(at) else (
-                at.get(step) if isinstance(at, dict) else None)
+            at = (
+                at[int(step)]
+                if isinstance(at, list) and step.isdigit() and int(step) < len(at)
+                else (at.get(step) if isinstance(at, dict) else None)
+            )
             if not isinstance(at, (dict, list)):
                 break
         if isinstance(at, dict):
@@ -161,8 +246,11 @@
     s = settings(cores=1, crowd_factor=1.5, cold=True, cold_speed=0.2)
     m = Model(Rules(s, 1, 0.0), s)
     m.batch(0.0)
-    out = m.batch(0.1, it.Arrived(1, 0, memory=8.0, cost_hint=0.1, left=2.9),
-                  it.Arrived(2, 0, memory=8.0, cost_hint=0.1, left=2.9))
+    out = m.batch(
+        0.1,
+        it.Arrived(1, 0, memory=8.0, cost_hint=0.1, left=2.9),
+        it.Arrived(2, 0, memory=8.0, cost_hint=0.1, left=2.9),
+    )
     assert len([a for a in out if isinstance(a, it.Start)]) == 1
 
 
@@ -173,13 +261,21 @@
 # ---- bytes
 
 JSON = st.recursive(
-    st.one_of(st.none(), st.booleans(), st.integers(-3, 10**30), st.floats(), st.text(max_size=5),
-              st.sampled_from(["success", "booting", "a", "joined", "aGk=", "%%"])),
+    st.one_of(
+        st.none(),
+        st.booleans(),
+        st.integers(-3, 10**30),
+        st.floats(),
+        st.text(max_size=5),
+        st.sampled_from(["success", "booting", "a", "joined", "aGk=", "%%"]),
+    ),
     lambda one: st.one_of(st.lists(one, max_size=3), st.dictionaries(st.text(max_size=3), one, max_size=3)),
-    max_leaves=5)
+    max_leaves=5,
+)
 NOTICE = st.fixed_dictionaries(
     {"t": st.sampled_from(["WELCOME", "EXIT", "CALLOUT", "METERS", "DIAGNOSED", "BAD", "LOG", "odd"])},
-    optional={name: JSON for name in ("no", "rid", "status", "time_ms", "b64", "mark", "v")})
+    optional={name: JSON for name in ("no", "rid", "status", "time_ms", "b64", "mark", "v")},
+)
 
 
 @QUICK
@@ -188,7 +284,7 @@
     data = b"".join(json.dumps(m).encode() + b"\n" for m in messages)
     decoder, got = lines.LineDecoder(), []
     for at in range(0, len(data), step):
-        got += decoder.feed(data[at:at + step])
+        got += decoder.feed(data[at : at + step])
         while got and isinstance(got[-1], lines.Malformed) and decoder.pass_over():
             more = decoder.feed(b"")
             if not more:
@@ -213,17 +309,26 @@
     decoder = frames.FrameDecoder()
     prefix = frame(7, 1, b"\x01\x02op\x03\x00abc")
     for at in range(0, len(prefix + data), step):
-        for one in decoder.feed((prefix + data)[at:at + step]):
+        for one in decoder.feed((prefix + data)[at : at + step]):
             assert isinstance(one, tuple)
         assert len(decoder.held) <= frames.KEPT + 60
 
 
 STATUS = [b"HTTP/1.1 200 OK\r\n", b"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 204 No\r\n", b"HTTP/1.0 503\r\n"]
-HEADERS = [b"Content-Length: 3\r\n", b"content-length: +3\r\n", b"Content-Length: 9999999\r\n",
-           b"Transfer-Encoding: chunked\r\n", b": x\r\n", b"X-Untouched: 1\r\n"]
+HEADERS = [
+    b"Content-Length: 3\r\n",
+    b"content-length: +3\r\n",
+    b"Content-Length: 9999999\r\n",
+    b"Transfer-Encoding: chunked\r\n",
+    b": x\r\n",
+    b"X-Untouched: 1\r\n",
+]
 BODIES = [b"\r\nabc", b"\r\n3\r\nabc\r\n0\r\n\r\n", b"\r\nfffffffff\r\n", b"\r\n-1\r\n", b"abc"]
-REPLY = st.tuples(st.sampled_from(STATUS), st.lists(st.sampled_from(HEADERS), max_size=3).map(b"".join),
-                  st.sampled_from(BODIES)).map(b"".join)
+REPLY = st.tuples(
+    st.sampled_from(STATUS),
+    st.lists(st.sampled_from(HEADERS), max_size=3).map(b"".join),
+    st.sampled_from(BODIES),
+).map(b"".join)
 
 
 @QUICK
@@ -231,7 +336,7 @@
 def test_any_answer_over_http_is_a_value(data, step):
     decoder = http.AnswerDecoder()
     for at in range(0, len(data), step):
-        got = decoder.feed(data[at:at + step])
+        got = decoder.feed(data[at : at + step])
         if got is not None:
             assert isinstance(got, (http.Answer, http.Malformed))
             return
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -327,12 +327,19 @@
 
 
 @FAST
-@given(st.lists(st.one_of(
-    st.tuples(st.just("grant"), st.sampled_from("de"), st.sampled_from("ab"), st.integers(1, 2)),
-    st.tuples(st.just("drop"), st.sampled_from("de")),
-    st.tuples(st.just("admit"), st.sampled_from("ab"), st.integers(1, 2)),
-    st.tuples(st.just("dismiss"), st.sampled_from("ab")),
-    st.tuples(st.just("epoch"), st.integers(0, 30)), st.just(("begin",))), max_size=25))
+@given(
+    st.lists(
+        st.one_of(
+            st.tuples(st.just("grant"), st.sampled_from("de"), st.sampled_from("ab"), st.integers(1, 2)),
+            st.tuples(st.just("drop"), st.sampled_from("de")),
+            st.tuples(st.just("admit"), st.sampled_from("ab"), st.integers(1, 2)),
+            st.tuples(st.just("dismiss"), st.sampled_from("ab")),
+            st.tuples(st.just("epoch"), st.integers(0, 30)),
+            st.just(("begin",)),
+        ),
+        max_size=25,
+    )
+)
 def test_facts_and_their_plain_reading_agree(facts):
     now, duties, voters, fence, seen = ow.Facts(), {}, {}, 0, []
     for fact in facts:
@@ -351,15 +358,30 @@
             fence = max(fence, fact[1])
         assert now.fence == fence >= before.fence
         assert dict(now.voters) == voters and {d: row for d, *row in now.duties} == {
-            d: list(row) for d, row in duties.items()}
+            d: list(row) for d, row in duties.items()
+        }
     assert seen == sorted(set(seen)), "no fence is handed out twice"
 
 
 @FAST
-@given(st.lists(st.tuples(
-    st.sampled_from([*ow.Owner.KINDS, "odd"]),
-    st.lists(st.one_of(st.integers(-2, 5), st.booleans(), st.none(), st.text(max_size=2),
-                       st.lists(st.integers(0, 3), max_size=3)), max_size=8)), max_size=10))
+@given(
+    st.lists(
+        st.tuples(
+            st.sampled_from([*ow.Owner.KINDS, "odd"]),
+            st.lists(
+                st.one_of(
+                    st.integers(-2, 5),
+                    st.booleans(),
+                    st.none(),
+                    st.text(max_size=2),
+                    st.lists(st.integers(0, 3), max_size=3),
+                ),
+                max_size=8,
+            ),
+        ),
+        max_size=10,
+    )
+)
 def test_no_message_breaks_it(messages):
     one = ow.Owner("a", 1, 1.0, Chance(1), 0.0, None, (("a", 1), ("b", 1), ("c", 1)))
     for number, (kind, fields) in enumerate(messages):
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -275,7 +275,7 @@
         while not lines or "group=process" not in lines[-1]:
             lines.append(run.stderr.readline())
         assert any("group=in" in line and "submissions=1" in line for line in lines)
-        beliefs, = [line for line in lines if "group=beliefs" in line]
+        (beliefs,) = [line for line in lines if "group=beliefs" in line]
         assert "connections=1" in beliefs and "link_up=1" in beliefs and "owed=0" in beliefs
         assert "cpu_ms_per_submission=" in lines[-1] and "lag_most_ms=" in lines[-1]
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -40,8 +40,10 @@
     assert ends.heard[-1] == it.Ended(number, it.Outcome.DONE, 0.1)
 
 
-@pytest.mark.parametrize("end, outcome", [
-    (End.FAILED, it.Outcome.ERROR), (End.NOTHING, it.Outcome.MOOT), (End.STOPPED, it.Outcome.CANCELLED)])
+@pytest.mark.parametrize(
+    "end, outcome",
+    [(End.FAILED, it.Outcome.ERROR), (End.NOTHING, it.Outcome.MOOT), (End.STOPPED, it.Outcome.CANCELLED)],
+)
 def test_other_ends_are_written_off_and_told(caller, end, outcome):
     ends = Ends()
     number, call = ends.arrive("file", caller, do=[it.Start])
@@ -111,7 +113,7 @@
     ends = Ends()
     number, call = ends.arrive("file", caller, do=[it.Start])
     ends.turn(lines.CallWanted(1, call, b"ask"), do=[it.Call(number, 0.2)])
-    (_, attempt, reference, body), = ends.calls
+    ((_, attempt, reference, body),) = ends.calls
     assert (reference, body) == (call, b"ask")
     ends.turn(msg.CallOver(number, attempt, it.Outcome.DONE, 0.1, b"\x00said"))
     assert ends.lines[-1] == {"t": "RETURN", "rid": call, "b64": "AHNhaWQ="}
@@ -167,7 +169,7 @@
 def doubted(ends, caller):
     number, call = ends.arrive("file", caller, do=[it.Start], hint=0.2)
     assert rejoin(ends) == []
-    (delay, push, (doubt,)), = ends.later
+    ((delay, push, (doubt,)),) = ends.later
     assert 0.6 < delay < 1.0 and push == ends.core.mailbox.push
     return number, call, doubt
 
@@ -264,7 +266,7 @@
     number, call = ends.arrive(workload, caller, mark="m")
     ends.gauge()
     rejoin(ends, msg.NoticesMissed())
-    (delay, push, (doubt,)), = ends.later
+    ((delay, push, (doubt,)),) = ends.later
     assert ends.turn(doubt) == [("KILL", call)]
     ends.gauge()
     assert codes(caller) == [WRITTEN_OFF] and ends.counts["executor.end_unheard"] == 1
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -244,15 +244,23 @@
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-@pytest.mark.parametrize("script, outcome", [
-    ([GOOD], Outcome.DONE), ([GOOD[:20], 0.01, GOOD[20:]], Outcome.DONE),
-    ([b"HTTP/1.1 503 No\r\nX-Untouched: 1\r\nContent-Length: 0\r\n\r\n"], Outcome.REFUSED),
-    ([b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"], Outcome.ERROR),
-    ([b"HTTP/1.1 409 No\r\nX-Untouched: 1\r\nContent-Length: 0\r\n\r\n"], Outcome.MOOT),
-    ([b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"], Outcome.ERROR),
-    ([b"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n"], Outcome.TIMED_OUT),
-    ([None], Outcome.RESET), ([GOOD[:30], None], Outcome.RESET), ([b"garbage\r\n\r\n"], Outcome.RESET),
-    ([5.0], Outcome.TIMED_OUT), ([GOOD[:30], 5.0], Outcome.TIMED_OUT)])
+@pytest.mark.parametrize(
+    "script, outcome",
+    [
+        ([GOOD], Outcome.DONE),
+        ([GOOD[:20], 0.01, GOOD[20:]], Outcome.DONE),
+        ([b"HTTP/1.1 503 No\r\nX-Untouched: 1\r\nContent-Length: 0\r\n\r\n"], Outcome.REFUSED),
+        ([b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"], Outcome.ERROR),
+        ([b"HTTP/1.1 409 No\r\nX-Untouched: 1\r\nContent-Length: 0\r\n\r\n"], Outcome.MOOT),
+        ([b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"], Outcome.ERROR),
+        ([b"HTTP/1.1 504 No\r\nContent-Length: 0\r\n\r\n"], Outcome.TIMED_OUT),
+        ([None], Outcome.RESET),
+        ([GOOD[:30], None], Outcome.RESET),
+        ([b"garbage\r\n\r\n"], Outcome.RESET),
+        ([5.0], Outcome.TIMED_OUT),
+        ([GOOD[:30], 5.0], Outcome.TIMED_OUT),
+    ],
+)
 def test_a_call_s_outcome_says_what_is_proved(scheduler, script, outcome):
     address, took = serve(scheduler, script)
     box = Mailbox(scheduler, 10)
@@ -260,7 +268,7 @@
 
     def test():
         ledger.call(1, 4, "ref", 0.3, b"ask")
-        over, = box.take_all(10.0)
+        (over,) = box.take_all(10.0)
         assert (over.number, over.attempt, over.outcome) == (1, 4, outcome)
         assert over.body == (b"ok" if outcome is Outcome.DONE else b"") and not ledger.out
         assert len(took) == 1 and took[0].endswith(b"ask")
@@ -297,7 +305,7 @@
     def test():
         for number in range(3):
             ledger.call(number, 1, "a", 5.0, b"")
-            over, = box.take_all(10.0)
+            (over,) = box.take_all(10.0)
             assert (over.outcome, over.body) == (Outcome.DONE, b"%d." % number)
             scheduler.sleep(0.01)
         assert len(took) == 3
@@ -333,8 +341,12 @@
 
 
 def test_the_link_is_joined_again_from_the_last_notice_and_each_is_passed_on_once(scheduler):
-    address, took = serve(scheduler, [WELCOME + EXIT % 1, 0.05, None], [b"garbage\n", 0.05],
-                          [WELCOME + EXIT % 1 + EXIT % 2 + EXIT % 4, 0.01])
+    address, took = serve(
+        scheduler,
+        [WELCOME + EXIT % 1, 0.05, None],
+        [b"garbage\n", 0.05],
+        [WELCOME + EXIT % 1 + EXIT % 2 + EXIT % 4, 0.01],
+    )
     box = Mailbox(scheduler, 50)
     ExecutorLink(scheduler, address, Chance(1), box.put, lambda *_: None)
 
@@ -344,7 +356,11 @@
             got += box.take_all(10.0)
         assert [m.number for m in got if isinstance(m, lines.RunOver)] == [1, 2, 4]
         assert [type(m) for m in got if not isinstance(m, lines.RunOver)] == [
-            msg.LinkUp, msg.LinkDown, msg.LinkUp, msg.NoticesMissed]
+            msg.LinkUp,
+            msg.LinkDown,
+            msg.LinkUp,
+            msg.NoticesMissed,
+        ]
         joins = [part for part in b"".join(took).split(b"\n") if b"JOIN" in part]
         assert [b'"no":0' in part for part in joins] == [True, False, False] and b'"no":1' in joins[2]
 
@@ -370,7 +386,7 @@
         while sum(isinstance(m, lines.RunOver) for m in got) < 2:
             got += box.take_all(10.0)
         assert [m.number for m in got if isinstance(m, lines.RunOver)] == [1, 2]
-        down, = [m for m in got if isinstance(m, msg.LinkDown)]
+        (down,) = [m for m in got if isinstance(m, msg.LinkDown)]
         assert (down.arrived >= moved) is settles
         assert b'"no":1' in took_new[0] and b"one\n" in b"".join(took_old) and link.up
 
@@ -408,8 +424,10 @@
             scheduler.sleep(0.01)
             if "naming.reports" in counts:
                 break
-        assert "naming.reports" in counts and ("naming.unanswered" if script in ([2.0], [None]) else
-                                               "naming.failed") in counts
+        assert (
+            "naming.reports" in counts
+            and ("naming.unanswered" if script in ([2.0], [None]) else "naming.failed") in counts
+        )
         reporter.tell(True)
         scheduler.sleep(0.3)
         assert took[0].startswith(b"PUT /ns/hosts/n3 HTTP/1.1\r\n") and took[0].endswith(b'{"serving":"no"}')
@@ -477,10 +495,17 @@
     run(scheduler, lambda: scheduler.sleep(0.01))
 
 
-@pytest.mark.parametrize("bad, stream", [
-    (submission(7, op="unheard"), 7), (submission(7, heap=None), 7), (submission(7, body=b"x" * 3000), 7),
-    (submission(7, org="nobody"), 7), (submission(7, org=None), 7),
-    (submission(7, recv="99999999999999"), 7)])
+@pytest.mark.parametrize(
+    "bad, stream",
+    [
+        (submission(7, op="unheard"), 7),
+        (submission(7, heap=None), 7),
+        (submission(7, body=b"x" * 3000), 7),
+        (submission(7, org="nobody"), 7),
+        (submission(7, org=None), 7),
+        (submission(7, recv="99999999999999"), 7),
+    ],
+)
 def test_a_bad_submission_gets_a_true_answer_and_the_connection_goes_on(scheduler, bad, stream):
     first, put = connection(scheduler)
     made = staying(scheduler, bad + submission(8), gateways=first.gateways)
@@ -513,9 +538,15 @@
     assert len(made.open) == 32 and 34 in made.open
 
 
-@pytest.mark.parametrize("bad, behind", [
-    (submission(1), frame(8, 9, b"\x00\x00")), (frame(5, 1), b""), (b"\x00\x00\x00\x00", b""),
-    (frame(7, 2, b"\x05"), b"")])
+@pytest.mark.parametrize(
+    "bad, behind",
+    [
+        (submission(1), frame(8, 9, b"\x00\x00")),
+        (frame(5, 1), b""),
+        (b"\x00\x00\x00\x00", b""),
+        (frame(7, 2, b"\x05"), b""),
+    ],
+)
 def test_an_error_ends_the_connection_at_once_and_what_is_open_is_written_off(scheduler, bad, behind):
     """What can be read behind it never ran, and is told so."""
     made, put = connection(scheduler, submission(1) + bad + submission(9))
@@ -549,9 +580,16 @@
     return accepted(gateways or connection(scheduler)[0].gateways, stream)
 
 
-@pytest.mark.parametrize("sent, closed", [
-    (b"", True), (submission(1)[:30], True), (submission(1) + submission(2)[:9], True),
-    (submission(1), False), (frame(1, 5, b"\0"), False)])
+@pytest.mark.parametrize(
+    "sent, closed",
+    [
+        (b"", True),
+        (submission(1)[:30], True),
+        (submission(1) + submission(2)[:9], True),
+        (submission(1), False),
+        (frame(1, 5, b"\0"), False),
+    ],
+)
 def test_a_frame_that_does_not_come_ends_the_connection_in_time(scheduler, sent, closed):
     made = staying(scheduler, *[sent] * bool(sent))
     gateways = made.gateways
@@ -633,6 +671,8 @@
 def test_all_bounds_fit_the_process_s_limits_together(sockets, memory_mb):
     b = derive(sockets, memory_mb)
     assert b.connections + b.calls + OTHERS <= sockets and min(b) > 0
-    assert b.connections * CONNECTION + b.submissions * SUBMISSION + b.unsent + b.results <= max(
-        4, memory_mb - PROCESS) << 20
+    assert (
+        b.connections * CONNECTION + b.submissions * SUBMISSION + b.unsent + b.results
+        <= max(4, memory_mb - PROCESS) << 20
+    )
     assert sockets < 384 or b.connections >= sockets // 2, "gateways may take half"
--- a/valeturn/control/requests.py
+++ b/valeturn/control/requests.py
@@ -81,8 +81,14 @@
     if fence is None or isinstance(request, Bad):
         return request
     pair = isinstance(fence, list) and len(fence) == 2
-    if not (pair and isinstance(fence[0], str) and 0 < len(fence[0]) <= 64
-            and isinstance(fence[1], int) and not isinstance(fence[1], bool) and 0 <= fence[1] < 2**63):
+    if not (
+        pair
+        and isinstance(fence[0], str)
+        and 0 < len(fence[0]) <= 64
+        and isinstance(fence[1], int)
+        and not isinstance(fence[1], bool)
+        and 0 <= fence[1] < 2**63
+    ):
         return Bad("fence wants the name of a duty and its number")
     return Fenced(*fence, request)
 
@@ -154,9 +160,11 @@
     """One line of a server's part of its fleet."""
     alive = sum(member["state"] in ("alive", "suspected") for member in fleet["members"])
     left = fleet["lease_left_s"]
-    return (f"fleet {fleet['name']}: {alive} there, owner {fleet['owner'] or 'NONE'}"
-            + ("" if left is None else f" (this server, lease left {left:g} s)")
-            + f", term {fleet['term']}, fence {fleet['fence']}, {fleet['role']}")
+    return (
+        f"fleet {fleet['name']}: {alive} there, owner {fleet['owner'] or 'NONE'}"
+        + ("" if left is None else f" (this server, lease left {left:g} s)")
+        + f", term {fleet['term']}, fence {fleet['fence']}, {fleet['role']}"
+    )
 
 
 def human(name, status):
--- a/valeturn/fleet/calls.py
+++ b/valeturn/fleet/calls.py
@@ -58,14 +58,19 @@
             self.fleet.fences.passes(self.name, grant.fence)
             self.fleet.count("fleet.shares.taken")
             if abs(holder.amount - before) > 0.1 * before:
-                self.fleet.log("fleet_share", {"calls": holder.amount, "from": shares.SOURCES[holder.source],
-                                               "fence": grant.fence})
+                self.fleet.log(
+                    "fleet_share",
+                    {"calls": holder.amount, "from": shares.SOURCES[holder.source], "fence": grant.fence},
+                )
         elif holder.stale > stale:
             self.fleet.count("fleet.shares.stale")
 
     def figures(self, now):
-        return {"calls": self.holder.usable(now), "from": shares.SOURCES[self.holder.source],
-                "stale": self.holder.stale}
+        return {
+            "calls": self.holder.usable(now),
+            "from": shares.SOURCES[self.holder.source],
+            "stale": self.holder.stale,
+        }
 
     def split_figures(self, now):
         return None if self.splitter is None else self.splitter.figures(now)
--- a/valeturn/fleet/fences.py
+++ b/valeturn/fleet/fences.py
@@ -1,7 +1,7 @@
 """Numbers that only rise: whatever a duty touches refuses a lower one than it has seen.
 
 `Fences` are a process's own, in memory. A file has its number beside it, in FILE.fence, taken under a lock
-and durable before the file is touched: an owner that was overtaken finds it there. """
+and durable before the file is touched: an owner that was overtaken finds it there."""
 
 from __future__ import annotations
 
--- a/valeturn/fleet/membership.py
+++ b/valeturn/fleet/membership.py
@@ -109,9 +109,15 @@
     if not isinstance(news, list) or len(news) != 7:
         return False
     *words, life, incarnation, state = news
-    return all(isinstance(word, str) and len(word) <= ADDRESS for word in words) and all(words[:2]) and all(
-        isinstance(number, int) and not isinstance(number, bool) and 0 <= number < 2**62
-        for number in (life, incarnation)) and state in (ALIVE, SUSPECTED, GONE, LEFT)
+    return (
+        all(isinstance(word, str) and len(word) <= ADDRESS for word in words)
+        and all(words[:2])
+        and all(
+            isinstance(number, int) and not isinstance(number, bool) and 0 <= number < 2**62
+            for number in (life, incarnation)
+        )
+        and state in (ALIVE, SUSPECTED, GONE, LEFT)
+    )
 
 
 class Membership:
@@ -324,8 +330,15 @@
         if wants is True and member is not None:
             self._send_list(member, False)
 
-    KINDS = {"ping": on_ping, "ask": on_ask, "ack": on_ack, "heard": on_heard, "nack": on_nack,
-             "sync": on_sync, "news": lambda self, now, sender, fields: None}
+    KINDS = {
+        "ping": on_ping,
+        "ask": on_ask,
+        "ack": on_ack,
+        "heard": on_heard,
+        "nack": on_nack,
+        "sync": on_sync,
+        "news": lambda self, now, sender, fields: None,
+    }
 
     def _list(self):
         return [self.me.news(), *(m.news() for m in self.members.values())]
@@ -334,7 +347,7 @@
         """In messages of SYNCED each; the first asks for the other's."""
         news = self._list()
         for start in range(0, len(news), SYNCED):
-            self._send(member, "sync", [wants and start == 0, news[start:start + SYNCED]])
+            self._send(member, "sync", [wants and start == 0, news[start : start + SYNCED]])
 
     # ---- what is known
 
@@ -403,15 +416,16 @@
         """What was sent the least often so far; what is suspected of whom it goes to comes first, so that it
         can be refuted at once."""
         most = SPREAD * math.ceil(math.log10(2 + len(self.members)))
-        chosen = sorted(self.gossip.items(), key=lambda item: (
-            about is None or item[0] != about.name, item[1][0]))[:GOSSIP - 1]
+        chosen = sorted(
+            self.gossip.items(), key=lambda item: (about is None or item[0] != about.name, item[1][0])
+        )[: GOSSIP - 1]
         for name, row in chosen:
             row[0] += 1
             if row[0] >= most:
                 del self.gossip[name]
         news = [row[1] for _, row in chosen if row[1][0] != self.me.name]
         if about is not None and about.state == SUSPECTED and all(one[0] != about.name for one in news):
-            news = [about.news(), *news[:GOSSIP - 2]]
+            news = [about.news(), *news[: GOSSIP - 2]]
         return [self.me.news(), *news]
 
     def _shuffled(self, names):
--- a/valeturn/fleet/owner.py
+++ b/valeturn/fleet/owner.py
@@ -109,16 +109,25 @@
         return self._replace(turns=tuple(sorted([*rows, tuple(row)])), fence=fence)
 
     def packed(self):
-        return [[list(row) for row in self.voters], [list(row) for row in self.duties], self.fence,
-                [list(row) for row in self.turns], self.held]
+        return [
+            [list(row) for row in self.voters],
+            [list(row) for row in self.duties],
+            self.fence,
+            [list(row) for row in self.turns],
+            self.held,
+        ]
 
     @classmethod
     def read(cls, said):
         """From what `packed` gave. Raises TypeError or ValueError where it is none."""
         voters, duties, fence, turns, held = said
-        return cls(tuple((str(n), int(life)) for n, life in voters),
-                   tuple((str(d), str(o), int(life), int(f)) for d, o, life, f in duties), int(fence),
-                   tuple(tuple(row) for row in turns), bool(held))
+        return cls(
+            tuple((str(n), int(life)) for n, life in voters),
+            tuple((str(d), str(o), int(life), int(f)) for d, o, life, f in duties),
+            int(fence),
+            tuple(tuple(row) for row in turns),
+            bool(held),
+        )
 
 
 STATE, FENCE, GRANTED = 5, 6, 1  # of a turn's row, as turns/order.py has it
@@ -264,8 +273,12 @@
 
     def on_sound(self, now, sender, term, index, last_term):
         """Would it vote? A sounding costs no term, so that one that was cut off upsets nobody."""
-        would = self.may_vote() and term > self.kept.term and (last_term, index) >= self.last()[::-1] and (
-            now >= self.promised_until and not self.leads(now))
+        would = (
+            self.may_vote()
+            and term > self.kept.term
+            and (last_term, index) >= self.last()[::-1]
+            and (now >= self.promised_until and not self.leads(now))
+        )
         self.out.append(Send(sender, "would", [term, self.kept.term, would]))
 
     def on_would(self, now, sender, asked, term, would):
@@ -311,7 +324,7 @@
         self._step(now, LED)
         entries = [Entry(t, fact_of(fact)) for t, fact in entries]
         if index < self.kept.base:  # what stands in the snapshot is committed, and so agrees
-            entries, index = entries[self.kept.base - index:], self.kept.base
+            entries, index = entries[self.kept.base - index :], self.kept.base
             before_term = self.kept.base_term
         good = self.term_of(index) == before_term
         if good:
@@ -325,8 +338,7 @@
         """By this life: what an earlier one that forgot has answered counts for nothing, and what this one
         answers counts once the leader has it in its log. Its earlier life was dismissed by a committed fact
         then, so that no majority counts both."""
-        self.out.append(Send(sender, "appended", [
-            self.kept.term, number, good, index, self.life]))
+        self.out.append(Send(sender, "appended", [self.kept.term, number, good, index, self.life]))
 
     def on_snapshot(self, now, sender, term, number, base, base_term, facts):
         if term < self.kept.term:
@@ -430,13 +442,21 @@
     def _append_to(self, name):
         kept, first = self.kept, self.next.setdefault(name, self.last()[0] + 1)
         if first <= kept.base:
-            self.out.append(Send(name, "snapshot", [
-                kept.term, self.round, kept.base, kept.base_term, kept.facts.packed()]))
+            self.out.append(
+                Send(
+                    name, "snapshot", [kept.term, self.round, kept.base, kept.base_term, kept.facts.packed()]
+                )
+            )
             return
         start = first - 1 - kept.base
-        entries = [[e.term, list(e.fact)] for e in kept.entries[start:start + MOST]]
-        self.out.append(Send(name, "append", [
-            kept.term, self.round, first - 1, self.term_of(first - 1), entries, self.commit]))
+        entries = [[e.term, list(e.fact)] for e in kept.entries[start : start + MOST]]
+        self.out.append(
+            Send(
+                name,
+                "append",
+                [kept.term, self.round, first - 1, self.term_of(first - 1), entries, self.commit],
+            )
+        )
 
     def _renew(self):
         for at, answered in self.rounds.values():
@@ -470,7 +490,7 @@
         return kept.entries[index - kept.base - 1].term if kept.base < index <= self.last()[0] else None
 
     def _behind(self, index):
-        return self.kept.entries[max(0, index - self.kept.base):]
+        return self.kept.entries[max(0, index - self.kept.base) :]
 
     def _append(self, entry):
         self._keep(entries=(*self.kept.entries, entry))
@@ -481,7 +501,7 @@
         for offset, entry in enumerate(entries, 1):
             if index + offset > kept.base and self.term_of(index + offset) != entry.term:
                 at = index + offset - kept.base - 1
-                self._keep(entries=(*kept.entries[:at], *entries[offset - 1:]))
+                self._keep(entries=(*kept.entries[:at], *entries[offset - 1 :]))
                 return
 
     def _commit(self, index):
@@ -494,7 +514,7 @@
         if len(self.kept.entries) > 2 * KEPT and self.commit - self.kept.base > KEPT:
             base = self.commit - KEPT // 2
             facts = self.kept.facts
-            for entry in self.kept.entries[:base - self.kept.base]:
+            for entry in self.kept.entries[: base - self.kept.base]:
                 facts = facts.apply(entry.fact)
             self._keep(base_term=self.term_of(base), entries=self._behind(base), base=base, facts=facts)
 
--- a/valeturn/fleet/runs.py
+++ b/valeturn/fleet/runs.py
@@ -43,8 +43,12 @@
         environment = {**os.environ, **self.environment, "VALETURN_FENCE": str(fence), "VALETURN_DUTY": name}
         try:
             process = subprocess.Popen(
-                [sys.executable, "-I", "-S", GUARD, str(patience), command], env=environment,
-                stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL)
+                [sys.executable, "-I", "-S", GUARD, str(patience), command],
+                env=environment,
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+                stderr=subprocess.DEVNULL,
+            )
         except OSError as error:
             return str(error)
         os.set_blocking(process.stdin.fileno(), False)
@@ -64,7 +68,7 @@
                 continue
             if not data:
                 break
-            run.text = (run.text + data)[-8 * bounds.TAIL:]  # the tail as JSON writes it
+            run.text = (run.text + data)[-8 * bounds.TAIL :]  # the tail as JSON writes it
         self.scheduler.closing(out.fileno())
         out.close()
         self.close(run)
--- a/valeturn/fleet/shares.py
+++ b/valeturn/fleet/shares.py
@@ -113,7 +113,7 @@
     def asked(self, now, name, need, stamp, holding):
         """A Grant, or None: nothing can be said now, and the server goes on by what it has. So it is until
         all that an earlier owner lent is over: to give even the sure share back would take it from who
-        borrowed it. """
+        borrowed it."""
         place = self.places.get(name)
         if place is None:
             if len(self.places) >= self.largest:
--- a/valeturn/fleet/wire.py
+++ b/valeturn/fleet/wire.py
@@ -63,8 +63,8 @@
             elif len(self.held) < HEAD.size + length:
                 break
             else:
-                payload = bytes(self.held[HEAD.size:HEAD.size + length])
-                del self.held[:HEAD.size + length]
+                payload = bytes(self.held[HEAD.size : HEAD.size + length])
+                del self.held[: HEAD.size + length]
                 out.append(self._read(payload, crc, version))
         return out
 
@@ -80,8 +80,12 @@
             return self._fault("version")
         try:
             said = msgpack.unpackb(payload)
-        except (ValueError, msgpack.exceptions.ExtraData, msgpack.exceptions.FormatError,
-                msgpack.exceptions.StackError):
+        except (
+            ValueError,
+            msgpack.exceptions.ExtraData,
+            msgpack.exceptions.FormatError,
+            msgpack.exceptions.StackError,
+        ):
             return self._fault("unreadable")
         if not isinstance(said, list) or len(said) < 4:
             return self._fault("unreadable")
--- a/valeturn/lab/explore.py
+++ b/valeturn/lab/explore.py
@@ -172,8 +172,11 @@
         if used["effects"] < bounds.effects and fence_of(world, name) is not None:
             out.append(("effect", name, ""))
         if used["readmissions"] < bounds.readmissions and owner.leads(world.now):
-            out += [("readmit", name, other) for other, life in world.lives.items()
-                    if life > 1 and (other, life) not in owner._voters()]
+            out += [
+                ("readmit", name, other)
+                for other, life in world.lives.items()
+                if life > 1 and (other, life) not in owner._voters()
+            ]
     return out
 
 
@@ -194,8 +197,16 @@
         return fence >= seen
 
 
-COUNTED = {"effect": "effects", "readmit": "readmissions", "time": "steps", "lose": "losses",
-           "double": "doubles", "restart": "restarts", "wipe": "wipes", "propose": "proposals"}
+COUNTED = {
+    "effect": "effects",
+    "readmit": "readmissions",
+    "time": "steps",
+    "lose": "losses",
+    "double": "doubles",
+    "restart": "restarts",
+    "wipe": "wipes",
+    "propose": "proposals",
+}
 
 
 def act(world, action, make=Owner, sink=Sink):
@@ -240,25 +251,59 @@
 
 def key(world):
     """What makes two states the same: times count from now, and long ago is long ago."""
+
     def ago(at):
         return round(max(-1.1, at - world.now), 3)
 
     rows = []
     for name, o in sorted(world.owners.items()):
-        rounds = tuple(sorted((o.round - n, ago(at), tuple(sorted(who))) for n, (at, who) in o.rounds.items()
-                              if world.now - at <= 1.0))
-        rows.append((o.kept, o.commit, o.role, o.leader, ago(o.promised_until), ago(o.stand_at),
-                     ago(o.lease_until), ago(o.out_at), ago(o.beat_at), o.handing, tuple(sorted(o.backers)),
-                     rounds,
-                     tuple(sorted(o.next.items())), tuple(sorted(o.match.items())), world.disks[name]))
-    return hash((tuple(rows), tuple(sorted(world.flying, key=repr)), tuple(sorted(world.used.items())),
-                 tuple(sorted(world.leaders.items())), world.seen, tuple(sorted(world.holders.items()))))
+        rounds = tuple(
+            sorted(
+                (o.round - n, ago(at), tuple(sorted(who)))
+                for n, (at, who) in o.rounds.items()
+                if world.now - at <= 1.0
+            )
+        )
+        rows.append(
+            (
+                o.kept,
+                o.commit,
+                o.role,
+                o.leader,
+                ago(o.promised_until),
+                ago(o.stand_at),
+                ago(o.lease_until),
+                ago(o.out_at),
+                ago(o.beat_at),
+                o.handing,
+                tuple(sorted(o.backers)),
+                rounds,
+                tuple(sorted(o.next.items())),
+                tuple(sorted(o.match.items())),
+                world.disks[name],
+            )
+        )
+    return hash(
+        (
+            tuple(rows),
+            tuple(sorted(world.flying, key=repr)),
+            tuple(sorted(world.used.items())),
+            tuple(sorted(world.leaders.items())),
+            world.seen,
+            tuple(sorted(world.holders.items())),
+        )
+    )
 
 
 def explore(bounds, make=Owner, count=3, start=None, sink=Sink):
     """From a world on: the first broken invariant is by a shortest story."""
-    return search(start or begin(make, count), bounds, lambda world: actions(world, bounds),
-                  lambda world, action: act(world, action, make, sink), key)
+    return search(
+        start or begin(make, count),
+        bounds,
+        lambda world: actions(world, bounds),
+        lambda world, action: act(world, action, make, sink),
+        key,
+    )
 
 
 def search(first, bounds, actions, act, key):
@@ -300,8 +345,9 @@
     for action in actions_:
         what, which, text = action
         if what in ("deliver", "lose", "double"):
-            there = [n for n, (to, sender, kind, _) in enumerate(world.flying)
-                     if f"{sender}->{to} {kind}" == text]
+            there = [
+                n for n, (to, sender, kind, _) in enumerate(world.flying) if f"{sender}->{to} {kind}" == text
+            ]
             if not there:
                 return None
             which = which if which in there else there[0]
@@ -313,9 +359,16 @@
 
 def tell(actions_):
     """The story for a person, a line each."""
-    words = {"deliver": "arrives: {}", "lose": "is lost: {}", "double": "arrives and flies on: {}",
-             "time": "{} passes", "tick": "{0} looks at its clock",
-             "restart": "{0} is killed and back with its disk",
-             "wipe": "{0} is killed and back without its disk", "propose": "{0} proposes a grant",
-             "effect": "{0} looks at its lease and has an effect", "readmit": "{0} is taken back in"}
+    words = {
+        "deliver": "arrives: {}",
+        "lose": "is lost: {}",
+        "double": "arrives and flies on: {}",
+        "time": "{} passes",
+        "tick": "{0} looks at its clock",
+        "restart": "{0} is killed and back with its disk",
+        "wipe": "{0} is killed and back without its disk",
+        "propose": "{0} proposes a grant",
+        "effect": "{0} looks at its lease and has an effect",
+        "readmit": "{0} is taken back in",
+    }
     return [words[what].format(which if not text else text) for what, which, text in actions_]
--- a/valeturn/lab/fabric/effect.py
+++ b/valeturn/lab/fabric/effect.py
@@ -21,8 +21,10 @@
     print(f"{os.environ['VALETURN_SERVER']} under {os.environ['VALETURN_FENCE']}", flush=True)
     with socket.create_connection((host, int(port))) as sock:
         while True:
-            sock.sendall(f"{os.environ['VALETURN_DUTY']} {os.environ['VALETURN_FENCE']} "
-                         f"{os.environ['VALETURN_SERVER']}\n".encode())
+            sock.sendall(
+                f"{os.environ['VALETURN_DUTY']} {os.environ['VALETURN_FENCE']} "
+                f"{os.environ['VALETURN_SERVER']}\n".encode()
+            )
             time.sleep(0.02)
 
 
--- a/valeturn/lab/fabric/fleet.py
+++ b/valeturn/lab/fabric/fleet.py
@@ -74,8 +74,21 @@
 
 
 class Fleet:
-    def __init__(self, folder, count, seed, *, duties="", voters=None, folders=True, fenced=True,
-                 largest=None, load=0.0, lease=LEASE, fleet=True):
+    def __init__(
+        self,
+        folder,
+        count,
+        seed,
+        *,
+        duties="",
+        voters=None,
+        folders=True,
+        fenced=True,
+        largest=None,
+        load=0.0,
+        lease=LEASE,
+        fleet=True,
+    ):
         self.number = next(FLEETS)
         self.folder, self.chance, self.calls, self.fenced = pathlib.Path(folder), Chance(seed), 0, fenced
         for _ in range(8):
@@ -117,43 +130,72 @@
             self.write_seams(server)
         await asyncio.gather(*(self.up(name) for name in self.names))
         if self.load:
-            self.loads = [asyncio.get_running_loop().create_task(self.gateways_load(server))
-                          for server in self.servers.values()]
+            self.loads = [
+                asyncio.get_running_loop().create_task(self.gateways_load(server))
+                for server in self.servers.values()
+            ]
 
     @staticmethod
     async def ledger(reader, writer):
         await http(reader, writer, lambda first, body: ("200 OK", b"[" + body + b"]"))
 
     def write_seams(self, server):
-        server.path("seams.json").write_text(json.dumps({
-            "clock": str(server.clock), "notes": str(server.notes), "wall": server.wall,
-            "full": str(server.path("full")),
-            "relays": [{"of": self.servers[other].peers, "through": at}
-                       for (who, other), at in self.relays.at.items() if who == server.name]}))
+        server.path("seams.json").write_text(
+            json.dumps(
+                {
+                    "clock": str(server.clock),
+                    "notes": str(server.notes),
+                    "wall": server.wall,
+                    "full": str(server.path("full")),
+                    "relays": [
+                        {"of": self.servers[other].peers, "through": at}
+                        for (who, other), at in self.relays.at.items()
+                        if who == server.name
+                    ],
+                }
+            )
+        )
 
     def settings(self, server, duties=None):
         seeds = ", ".join("%s:%d" % self.servers[name].peers for name in self.names[:3])
         effect = f"{sys.executable} -I -S {EFFECT} 127.0.0.1 {self.at_world[1]}"
         if not self.fleet:
             return f"[control]\nsocket = {server.path('socket')}\n"
-        return "\n".join([
-            "[fleet]", "name = lab", "listen = %s:%d" % server.peers, f"seeds = {seeds}",
-            f"voters = {', '.join(self.voters)}", "even = on",
-            f"zone = {self.zones[int(server.name[1:]) % 3]}",
-            f"lease = {1000 * self.lease:g} ms", f"probe = {1000 * self.lease / 2:g} ms",
-            f"largest = {self.largest}", *([f"folder = {server.path('vote')}"] if self.folders else []),
-            "[control]", f"socket = {server.path('socket')}", "",
-            (self.duties if duties is None else duties).format(effect=effect)])
+        return "\n".join(
+            [
+                "[fleet]",
+                "name = lab",
+                "listen = %s:%d" % server.peers,
+                f"seeds = {seeds}",
+                f"voters = {', '.join(self.voters)}",
+                "even = on",
+                f"zone = {self.zones[int(server.name[1:]) % 3]}",
+                f"lease = {1000 * self.lease:g} ms",
+                f"probe = {1000 * self.lease / 2:g} ms",
+                f"largest = {self.largest}",
+                *([f"folder = {server.path('vote')}"] if self.folders else []),
+                "[control]",
+                f"socket = {server.path('socket')}",
+                "",
+                (self.duties if duties is None else duties).format(effect=effect),
+            ]
+        )
 
     async def up(self, name):
         server = self.servers[name]
         server.life += 1
         with open(server.path("log"), "ab") as log:
             server.process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "valeturn.lab.fabric.member", *(
-                    str(server.path(one)) for one in ("config.json", "settings.ini", "seams.json")),
-                cwd=ROOT, stdout=log, stderr=log, start_new_session=True,
-                env={k: v for k, v in os.environ.items() if not k.startswith("EDGE_")})
+                sys.executable,
+                "-m",
+                "valeturn.lab.fabric.member",
+                *(str(server.path(one)) for one in ("config.json", "settings.ini", "seams.json")),
+                cwd=ROOT,
+                stdout=log,
+                stderr=log,
+                start_new_session=True,
+                env={k: v for k, v in os.environ.items() if not k.startswith("EDGE_")},
+            )
         server.stopped = False
 
     async def kill(self, name, wipe=False):
@@ -256,6 +298,7 @@
 
     async def ask(self, name, request, patience=2.0):
         """The answer of a server's control socket, or None."""
+
         async def asked():
             path = str(self.servers[name].path("socket"))
             reader, writer = await asyncio.open_unix_connection(path, limit=1 << 20)
@@ -310,8 +353,9 @@
             while True:
                 self.works += 1
                 workload = ("quote", "book", "file")[self.works % 3]
-                task = loop.create_task(gateways[self.works % 2].submit(
-                    f"{server.name}-{self.works}", workload, most=4))
+                task = loop.create_task(
+                    gateways[self.works % 2].submit(f"{server.name}-{self.works}", workload, most=4)
+                )
                 tasks.add(task)
                 task.add_done_callback(tasks.discard)
                 await asyncio.sleep(1 / self.load)
@@ -325,13 +369,19 @@
         """(submissions, twice, lost, wrong), but for what a stopped server owed while it stood still."""
         sums = [0, 0, 0, 0]
         for server in self.servers.values():
+
             def excused(one, away=server.away):
                 return any(a - 3.0 <= one.at and one.at <= b + 3.0 for a, b in away)
 
-            verdict = check([one for one in server.tries if not excused(one)], server.doubled,
-                            server.executor, server.died)
-            for index, count in enumerate((verdict.submissions, len(verdict.twice), len(verdict.lost),
-                                           len(verdict.wrong))):
+            verdict = check(
+                [one for one in server.tries if not excused(one)],
+                server.doubled,
+                server.executor,
+                server.died,
+            )
+            for index, count in enumerate(
+                (verdict.submissions, len(verdict.twice), len(verdict.lost), len(verdict.wrong))
+            ):
                 sums[index] += count
         return sums
 
@@ -344,12 +394,25 @@
         submissions, twice, lost, wrong = self.judged_load()
         gaps = witness.unowned(seen)
         return {
-            "terms": len({term for _, term, _ in seen}), "owners_at_once": len(witness.at_once(seen)),
-            "effects": len(self.world.effects), "stale_effects_refused": self.world.refused(),
+            "terms": len({term for _, term, _ in seen}),
+            "owners_at_once": len(witness.at_once(seen)),
+            "effects": len(self.world.effects),
+            "stale_effects_refused": self.world.refused(),
             "stale_effects_done": self.world.harm(),
             "two_under_one_fence": len(self.world.two_under_one_fence()),
-            "shares_over_cap": len(witness.shares_over(
-                notes, {name: server.deaths for name, server in self.servers.items()}, CALL_CAP, sure,
-                self.largest)),
-            "unowned_p50": witness.p(gaps, 0.5), "unowned_p99": witness.p(gaps, 0.99),
-            "submissions": submissions, "twice": twice, "lost": lost, "wrong": wrong}
+            "shares_over_cap": len(
+                witness.shares_over(
+                    notes,
+                    {name: server.deaths for name, server in self.servers.items()},
+                    CALL_CAP,
+                    sure,
+                    self.largest,
+                )
+            ),
+            "unowned_p50": witness.p(gaps, 0.5),
+            "unowned_p99": witness.p(gaps, 0.99),
+            "submissions": submissions,
+            "twice": twice,
+            "lost": lost,
+            "wrong": wrong,
+        }
--- a/valeturn/lab/fabric/measure.py
+++ b/valeturn/lab/fabric/measure.py
@@ -82,15 +82,28 @@
     try:
         for name, load in (("idle", 0.0), ("loaded", 20.0)):
             on, off = asyncio.run(with_and_without(folder / name, count, seed, load))
-            per = "" if not load else (f" cpu_a_submission_on={1e6 * on[0] / on[3]:.0f}us "
-                                       f"off={1e6 * off[0] / off[3]:.0f}us submissions_a_second={on[3]:.1f}")
-            print(f"real servers={count} {name}: cpu_on={100 * on[0]:.2f}% off={100 * off[0]:.2f}% "
-                  f"memory_on={on[1]:.1f}MB off={off[1]:.1f}MB descriptors_on={on[2]:.0f} "
-                  f"off={off[2]:.0f}{per}",
-                  file=out, flush=True)
+            per = (
+                ""
+                if not load
+                else (
+                    f" cpu_a_submission_on={1e6 * on[0] / on[3]:.0f}us "
+                    f"off={1e6 * off[0] / off[3]:.0f}us submissions_a_second={on[3]:.1f}"
+                )
+            )
+            print(
+                f"real servers={count} {name}: cpu_on={100 * on[0]:.2f}% off={100 * off[0]:.2f}% "
+                f"memory_on={on[1]:.1f}MB off={off[1]:.1f}MB descriptors_on={on[2]:.0f} "
+                f"off={off[2]:.0f}{per}",
+                file=out,
+                flush=True,
+            )
         gaps = asyncio.run(owners_lost(folder, count, seed, times))
-        print(f"real servers={count} owners_killed={len(gaps)} without_owner_p50={witness.p(gaps, 0.5)} "
-              f"p99={witness.p(gaps, 0.99)}", file=out, flush=True)
+        print(
+            f"real servers={count} owners_killed={len(gaps)} without_owner_p50={witness.p(gaps, 0.5)} "
+            f"p99={witness.p(gaps, 0.99)}",
+            file=out,
+            flush=True,
+        )
     finally:
         shutil.rmtree(folder, ignore_errors=True)
     return 0
--- a/valeturn/lab/fabric/member.py
+++ b/valeturn/lab/fabric/member.py
@@ -31,11 +31,11 @@
             self.map = mmap.mmap(file.fileno(), CLOCK.size, access=mmap.ACCESS_READ)
 
     def now(self):
-        rate, own, true = CLOCK.unpack(self.map[:CLOCK.size])
+        rate, own, true = CLOCK.unpack(self.map[: CLOCK.size])
         return own + rate * (running.boot_clock() - true)
 
     def to_boot(self, moment):
-        rate, own, true = CLOCK.unpack(self.map[:CLOCK.size])
+        rate, own, true = CLOCK.unpack(self.map[: CLOCK.size])
         return true + (moment - own) / rate if rate > 0 else true + 3600.0
 
 
--- a/valeturn/lab/fabric/relays.py
+++ b/valeturn/lab/fabric/relays.py
@@ -37,7 +37,8 @@
     async def start(self):
         for pair in self.ways:
             server = await asyncio.start_server(
-                lambda reader, writer, pair=pair: self.connected(pair, reader, writer), "127.0.0.1", 0)
+                lambda reader, writer, pair=pair: self.connected(pair, reader, writer), "127.0.0.1", 0
+            )
             self.servers.append(server)
             self.at[pair] = server.sockets[0].getsockname()
 
@@ -65,8 +66,10 @@
         there = self.connections.setdefault(pair, set())
         there |= {writer, to_writer}
         try:
-            await asyncio.gather(self.pump(self.ways[pair], reader, to_writer),
-                                 self.pump(self.ways[listener, dialler], to_reader, writer))
+            await asyncio.gather(
+                self.pump(self.ways[pair], reader, to_writer),
+                self.pump(self.ways[listener, dialler], to_reader, writer),
+            )
         finally:
             there -= {writer, to_writer}
             writer.close()
@@ -82,7 +85,7 @@
                 if way.trickle:
                     for at in range(0, len(data), 16):
                         await asyncio.sleep(way.trickle)
-                        writer.write(data[at:at + 16])
+                        writer.write(data[at : at + 16])
                     continue
                 await way.open.wait()
                 writer.write(data)
--- a/valeturn/lab/fabric/storm.py
+++ b/valeturn/lab/fabric/storm.py
@@ -23,8 +23,15 @@
 cap = {CALL_CAP}
 round = {1000 * ROUND:g} ms
 """
-MUST_NOT = ("owners_at_once", "stale_effects_done", "two_under_one_fence", "shares_over_cap", "twice", "lost",
-            "wrong")
+MUST_NOT = (
+    "owners_at_once",
+    "stale_effects_done",
+    "two_under_one_fence",
+    "shares_over_cap",
+    "twice",
+    "lost",
+    "wrong",
+)
 
 
 class Storm:
@@ -35,10 +42,26 @@
         self.wiped = None
 
     async def play(self, faults):
-        kinds = (self.stop_one, self.stop_owner, self.kill_one, self.kill_owner, self.wipe_one, self.cut,
-                 self.cut_one_way, self.cut_owner_s_ears, self.stop_owner, self.stop_owner,
-                 self.reset, self.delay, self.trickle, self.double,
-                 self.hand_over, self.stop_all, self.clock, self.flap)
+        kinds = (
+            self.stop_one,
+            self.stop_owner,
+            self.kill_one,
+            self.kill_owner,
+            self.wipe_one,
+            self.cut,
+            self.cut_one_way,
+            self.cut_owner_s_ears,
+            self.stop_owner,
+            self.stop_owner,
+            self.reset,
+            self.delay,
+            self.trickle,
+            self.double,
+            self.hand_over,
+            self.stop_all,
+            self.clock,
+            self.flap,
+        )
         for _ in range(faults):
             kind = kinds[int(self.share() * len(kinds))]
             self.faults += 1
@@ -189,6 +212,10 @@
             if keep is None:
                 shutil.rmtree(folder.parent, ignore_errors=True)
         bad += any(found[key] for key in MUST_NOT)
-        print(f"real servers={count} seed={seed} faults={storm.faults} "
-              + " ".join(f"{key}={value}" for key, value in found.items()), file=out, flush=True)
+        print(
+            f"real servers={count} seed={seed} faults={storm.faults} "
+            + " ".join(f"{key}={value}" for key, value in found.items()),
+            file=out,
+            flush=True,
+        )
     return 1 if bad else 0
--- a/valeturn/lab/fabric/virtual.py
+++ b/valeturn/lab/fabric/virtual.py
@@ -45,14 +45,33 @@
         self.rate = 1 + 0.9 * DRIFT * (net.chance.share() - 0.5)
         self.cpu, self.need = 0.0, 4 * CAP / net.count * net.chance.share() ** 2
         self.options = FleetOptions(
-            "lab", f"10.0.{number // 250}.{number % 250}:7700", tuple(f"10.0.0.{n}:7700" for n in range(3)),
-            tuple(f"n{n}" for n in range(net.votes)), None, f"z{number % 3}", PROBE, LEASE, True, net.count)
+            "lab",
+            f"10.0.{number // 250}.{number % 250}:7700",
+            tuple(f"10.0.0.{n}:7700" for n in range(3)),
+            tuple(f"n{n}" for n in range(net.votes)),
+            None,
+            f"z{number % 3}",
+            PROBE,
+            LEASE,
+            True,
+            net.count,
+        )
         self.start()
 
     def start(self):
-        self.fleet = running.Fleet(self.options, self.name, None, lambda *_: None, self.net.log, self.number,
-                                   running.Seams(self.clock, wall=lambda: 1e6 + self.net.now,
-                                                 links=lambda *words: VirtualLinks(self.net, *words)))
+        self.fleet = running.Fleet(
+            self.options,
+            self.name,
+            None,
+            lambda *_: None,
+            self.net.log,
+            self.number,
+            running.Seams(
+                self.clock,
+                wall=lambda: 1e6 + self.net.now,
+                links=lambda *words: VirtualLinks(self.net, *words),
+            ),
+        )
         self.fleet.duties.put(self.clock(), {"calls": self.net.duty})
         self.fleet.share_calls("calls", self.net.duty, lambda: self.need)
         self.net.at(TICK * self.net.chance.share(), self.tick, self.fleet)
@@ -148,10 +167,14 @@
         lost.start()
         net.run(net.now + 12.0)
         net.check_shares()
-    print(f"virtual members={count} voters={net.votes} lease={LEASE:g}s seed={seed} "
-          f"first_owner={founded:.1f}s "
-          f"messages_a_second={rate:.1f} cpu_owner={100 * owners:.2f}% "
-          f"cpu_others_p50={100 * percentile(spent, 0.5):.2f}% "
-          f"shares_in_use={used:.1f}_of_{CAP} shares_over_cap={net.over} "
-          f"owner_lost_p50={percentile(gaps, 0.5):.2f}s most={max(gaps):.2f}s", file=out, flush=True)
+    print(
+        f"virtual members={count} voters={net.votes} lease={LEASE:g}s seed={seed} "
+        f"first_owner={founded:.1f}s "
+        f"messages_a_second={rate:.1f} cpu_owner={100 * owners:.2f}% "
+        f"cpu_others_p50={100 * percentile(spent, 0.5):.2f}% "
+        f"shares_in_use={used:.1f}_of_{CAP} shares_over_cap={net.over} "
+        f"owner_lost_p50={percentile(gaps, 0.5):.2f}s most={max(gaps):.2f}s",
+        file=out,
+        flush=True,
+    )
     return net.over == 0 and max(gaps) < 60.0
--- a/valeturn/lab/fabric/witness.py
+++ b/valeturn/lab/fabric/witness.py
@@ -64,8 +64,9 @@
 
 def looks(notes):
     """(time, term, name) of all moments at which one would have acted, in order."""
-    return sorted((float(row[1]), int(row[2]), name) for name, rows in notes.items()
-                  for row in rows if row[0] == "acts")
+    return sorted(
+        (float(row[1]), int(row[2]), name) for name, rows in notes.items() for row in rows if row[0] == "acts"
+    )
 
 
 def at_once(seen):
--- a/valeturn/lab/fleetdays/days.py
+++ b/valeturn/lab/fleetdays/days.py
@@ -101,7 +101,7 @@
     for index in range(number - 1, 0, -1):
         other = int(chance.share() * (index + 1))
         pool[index], pool[other] = pool[other], pool[index]
-    return tuple(sorted(pool[:round(share * number)]))
+    return tuple(sorted(pool[: round(share * number)]))
 
 
 def between(chance, low, high):
@@ -115,22 +115,34 @@
     for _ in range(8):
         chance.share()  # seeds side by side begin alike
     zones = 1 + int(chance.share() * 3)
-    day = Day(name, seed, servers, gateways, zones, seconds, load=between(chance, 0.6, 0.68),
-              room=between(chance, 1.2, 1.9), heeds=between(chance, 0.7, 1.0),
-              hashes=(0.0, 0.5, 1.0)[int(chance.share() * 3)])
+    day = Day(
+        name,
+        seed,
+        servers,
+        gateways,
+        zones,
+        seconds,
+        load=between(chance, 0.6, 0.68),
+        room=between(chance, 1.2, 1.9),
+        heeds=between(chance, 0.7, 1.0),
+        hashes=(0.0, 0.5, 1.0)[int(chance.share() * 3)],
+    )
     return build(day, chance)
 
 
 def calm(day, chance):
     at = 0.3 * day.seconds
-    return day._replace(bursts=((at, at + 6.0, 1.5),),
-                        shift=((0.6 * day.seconds, 0.8 * day.seconds, 0, 1.6),))
+    return day._replace(
+        bursts=((at, at + 6.0, 1.5),), shift=((0.6 * day.seconds, 0.8 * day.seconds, 0, 1.6),)
+    )
 
 
 def in_steps(chance, who, first, step, every, back_after, notice):
     """`who` goes in batches, one batch every so many seconds."""
-    return tuple(Out(first + every * n, tuple(who[start:start + step]), back_after, notice)
-                 for n, start in enumerate(range(0, len(who), step)))
+    return tuple(
+        Out(first + every * n, tuple(who[start : start + step]), back_after, notice)
+        for n, start in enumerate(range(0, len(who), step))
+    )
 
 
 def roll(day, chance):
@@ -145,14 +157,19 @@
     who = some(chance, day.servers, between(chance, 0.5, 0.9))
     step = max(1, round(0.12 * day.servers))
     at = 0.35 * day.seconds
-    return day._replace(outs=in_steps(chance, who, 6.0, step, 3.0, 4.5, 3.2),
-                        restarts=(Restart(at, some(chance, day.gateways, 0.7), 1.0),),
-                        registry_down=((at - 3.0, at + 8.0),))
+    return day._replace(
+        outs=in_steps(chance, who, 6.0, step, 3.0, 4.5, 3.2),
+        restarts=(Restart(at, some(chance, day.gateways, 0.7), 1.0),),
+        registry_down=((at - 3.0, at + 8.0),),
+    )
 
 
 def zone(day, chance):
-    lost = tuple(n for n in range(day.servers) if zone_of(n, day.zones) == 0) if day.zones > 1 else some(
-        chance, day.servers, 0.3)
+    lost = (
+        tuple(n for n in range(day.servers) if zone_of(n, day.zones) == 0)
+        if day.zones > 1
+        else some(chance, day.servers, 0.3)
+    )
     odd = frozenset(some(chance, day.servers, 0.125))
     times, failing = ((between(chance, 4.3, 9.3), 0.0), (1.0, 0.6))[int(2 * chance.share())]
     cuts = ()
@@ -160,8 +177,11 @@
         apart = frozenset(n for n in range(day.servers) if zone_of(n, day.zones) == 1)
         others = frozenset(n for n in range(day.gateways) if zone_of(n, day.zones) != 1)
         cuts = (Cut(0.65 * day.seconds, 0.65 * day.seconds + 5.0, apart, others),)
-    return day._replace(outs=(Out(0.25 * day.seconds, lost, 5.0),), cuts=cuts,
-                        slows=(Slow(0.5 * day.seconds, 0.85 * day.seconds, odd, times, failing),))
+    return day._replace(
+        outs=(Out(0.25 * day.seconds, lost, 5.0),),
+        cuts=cuts,
+        slows=(Slow(0.5 * day.seconds, 0.85 * day.seconds, odd, times, failing),),
+    )
 
 
 def split(day, chance):
--- a/valeturn/lab/fleetdays/gateways.py
+++ b/valeturn/lab/fleetdays/gateways.py
@@ -16,8 +16,20 @@
 class Asked:
     """What a client wants, through any number of tries."""
 
-    __slots__ = ("begun", "born", "due", "earned", "hint", "once", "rank", "subject", "tenant", "tried",
-                 "work", "workload")
+    __slots__ = (
+        "begun",
+        "born",
+        "due",
+        "earned",
+        "hint",
+        "once",
+        "rank",
+        "subject",
+        "tenant",
+        "tried",
+        "work",
+        "workload",
+    )
 
     def __init__(self, born, workload, work, hint, rank, tenant, subject, due, once):
         self.born, self.workload, self.work, self.hint = born, workload, work, hint
@@ -28,8 +40,25 @@
 class Try:
     """One of them at one server. What an emulated server asks of a submission is here too."""
 
-    __slots__ = ("answers", "asked", "born", "due", "gateway", "life", "over", "reached_at", "read_at",
-                 "server", "slim", "started", "taken_back", "tenant", "tries", "work", "workload")
+    __slots__ = (
+        "answers",
+        "asked",
+        "born",
+        "due",
+        "gateway",
+        "life",
+        "over",
+        "reached_at",
+        "read_at",
+        "server",
+        "slim",
+        "started",
+        "taken_back",
+        "tenant",
+        "tries",
+        "work",
+        "workload",
+    )
 
     def __init__(self, asked, gateway, server, now, until):
         self.asked, self.gateway, self.server, self.born, self.due = asked, gateway, server, now, until
--- a/valeturn/lab/fleetdays/main.py
+++ b/valeturn/lab/fleetdays/main.py
@@ -15,8 +15,13 @@
     title, make = policy(rules)
     fleet = Fleet(draw(name, seed, servers, gateways, seconds), make)
     totals = fleet.run()
-    return (f"day={name} seed={seed} policy={title} {fleet.line()}", fleet.unserved_why,
-            totals.worth / max(1e-9, totals.all_worth), totals.worst(10), fleet.witness.broken())
+    return (
+        f"day={name} seed={seed} policy={title} {fleet.line()}",
+        fleet.unserved_why,
+        totals.worth / max(1e-9, totals.all_worth),
+        totals.worst(10),
+        fleet.witness.broken(),
+    )
 
 
 def main(names, seeds, servers, gateways, seconds, against, out):
@@ -24,8 +29,9 @@
     broken, rows, rules = 0, {}, ("module", *against)
     jobs = [(name, seed, which) for name in names for seed in seeds for which in rules]
     with concurrent.futures.ProcessPoolExecutor(max(1, min(len(jobs), os.cpu_count() or 1))) as pool:
-        plays = [pool.submit(play, name, seed, servers, gateways, seconds, which)
-                 for name, seed, which in jobs]
+        plays = [
+            pool.submit(play, name, seed, servers, gateways, seconds, which) for name, seed, which in jobs
+        ]
         for (name, seed, which), played in zip(jobs, plays):
             line, why, earned, worst, bad = played.result()
             rows.setdefault((name, which), []).append((earned, worst))
@@ -34,9 +40,12 @@
             print(f"{line} unserved={unserved}", file=out, flush=True)
     for (name, which), found in rows.items():
         n = len(found)
-        print(f"day={name} policy={which} servers={servers} seeds={n} "
-              f"earned={sum(a for a, _ in found) / n:.4f} least={min(a for a, _ in found):.4f} "
-              f"worst_10s={sum(b for _, b in found) / n:.4f}", file=out)
+        print(
+            f"day={name} policy={which} servers={servers} seeds={n} "
+            f"earned={sum(a for a, _ in found) / n:.4f} least={min(a for a, _ in found):.4f} "
+            f"worst_10s={sum(b for _, b in found) / n:.4f}",
+            file=out,
+        )
     print(f"days={','.join(names)} servers={servers} rules_broken={broken}", file=out)
     return 1 if broken else 0
 
--- a/valeturn/lab/fleetdays/servers.py
+++ b/valeturn/lab/fleetdays/servers.py
@@ -88,10 +88,19 @@
         now, asked = self.world.now, attempt.asked
         attempt.read_at, self.subs[number] = now, attempt
         self.world.at(attempt.due + seen.SLACK, self.world.witness.due, attempt)
-        return [it.Arrived(
-            id=number, workload=asked.workload, tenant=asked.tenant, rank=asked.rank, memory=8.0,
-            waited=now - attempt.born, left=max(0.0, attempt.due - now), cost_hint=asked.hint,
-            caller=attempt.gateway.number)]
+        return [
+            it.Arrived(
+                id=number,
+                workload=asked.workload,
+                tenant=asked.tenant,
+                rank=asked.rank,
+                memory=8.0,
+                waited=now - attempt.born,
+                left=max(0.0, attempt.due - now),
+                cost_hint=asked.hint,
+                caller=attempt.gateway.number,
+            )
+        ]
 
     def over(self, number, run):
         if self.world.fails(self.name):
@@ -129,8 +138,11 @@
     # ---- the way out
 
     def open_ones(self):
-        return [*{id(one): one for one in self.subs.values()}.values(), *self.reading.values(),
-                *(attempt for attempt, _ in self.unread)]
+        return [
+            *{id(one): one for one in self.subs.values()}.values(),
+            *self.reading.values(),
+            *(attempt for attempt, _ in self.unread),
+        ]
 
     def leave(self, notice):
         """The notice to drain: the stop follows by so many seconds."""
--- a/valeturn/lab/fleetdays/witness.py
+++ b/valeturn/lab/fleetdays/witness.py
@@ -27,20 +27,33 @@
     def due(self, attempt):
         """Its time is up, slack and all: it was read by a server that lives, nobody took it back, and the
         caller could have been told."""
-        if attempt.read_at is not None and not attempt.answers and not attempt.taken_back and (
-                attempt.life == attempt.server.life and attempt.server.up):
+        if (
+            attempt.read_at is not None
+            and not attempt.answers
+            and not attempt.taken_back
+            and (attempt.life == attempt.server.life and attempt.server.up)
+        ):
             self.lost += 1
 
     def stopped(self, open_ones):
         """A server ended by itself with these still owed an answer."""
-        self.lost += sum(one.read_at is not None and not one.answers and not one.taken_back
-                         for one in open_ones)
+        self.lost += sum(
+            one.read_at is not None and not one.answers and not one.taken_back for one in open_ones
+        )
 
     def broken(self):
-        return (self.lost + self.twice + self.answered_twice + self.late_in_drain + self.back_after_run
-                + self.fell)
+        return (
+            self.lost
+            + self.twice
+            + self.answered_twice
+            + self.late_in_drain
+            + self.back_after_run
+            + self.fell
+        )
 
     def line(self):
-        return (f"lost={self.lost} twice={self.twice} answered_twice={self.answered_twice} "
-                f"turned_back_once_run={self.back_after_run} run_after_grace={self.late_in_drain} "
-                f"fell={self.fell}")
+        return (
+            f"lost={self.lost} twice={self.twice} answered_twice={self.answered_twice} "
+            f"turned_back_once_run={self.back_after_run} run_after_grace={self.late_in_drain} "
+            f"fell={self.fell}"
+        )
--- a/valeturn/lab/fleetdays/world.py
+++ b/valeturn/lab/fleetdays/world.py
@@ -21,12 +21,27 @@
     tenants = (0.27, 0.21, 0.15, 0.14, 0.12, 0.11)
     return it.Settings(
         workloads=d.WORKLOADS,
-        tenants=tuple(it.Tenant(f"t{n}", 0.9 * share * day.servers * d.RATE)
-                      for n, share in enumerate(tenants)),
-        servers=day.servers, cores=d.CORES, memory=100_000.0, run_memory_factor=4.0,
-        halting=it.Halting.DROP, saying=it.Saying.LEVEL, tick=0.005, answer_slack=0.1, drain_grace=2.5,
-        crowd_factor=8.0, cold_speed=0.3, cold_time=12.0, calls_share=2 * day.room * calls / day.servers,
-        calls_window=5.0, call_linger=0.2, longest_advice=1.0, by_work=True)
+        tenants=tuple(
+            it.Tenant(f"t{n}", 0.9 * share * day.servers * d.RATE) for n, share in enumerate(tenants)
+        ),
+        servers=day.servers,
+        cores=d.CORES,
+        memory=100_000.0,
+        run_memory_factor=4.0,
+        halting=it.Halting.DROP,
+        saying=it.Saying.LEVEL,
+        tick=0.005,
+        answer_slack=0.1,
+        drain_grace=2.5,
+        crowd_factor=8.0,
+        cold_speed=0.3,
+        cold_time=12.0,
+        calls_share=2 * day.room * calls / day.servers,
+        calls_window=5.0,
+        call_linger=0.2,
+        longest_advice=1.0,
+        by_work=True,
+    )
 
 
 class Fleet(World):
@@ -36,12 +51,21 @@
         self.day, self.make, self.witness = day, make_rules, seen.Witness()
         self.unserved_why = {}
         calls = day.servers * d.RATE * d.CALLS * d.CALL_TIME
-        scene = Scene(day.servers, day.seconds, settings(day), d.MIX, load=day.rate, call_time=d.CALL_TIME,
-                      call_room=max(4.0, 2 * day.room * calls))
+        scene = Scene(
+            day.servers,
+            day.seconds,
+            settings(day),
+            d.MIX,
+            load=day.rate,
+            call_time=d.CALL_TIME,
+            call_room=max(4.0, 2 * day.room * calls),
+        )
         super().__init__(scene, day.seed)
         self.demand = Chance(day.seed + 1)
-        self.gateways = [Gateway(self, n, self.chance.share() < day.heeds, self.chance.share() < day.hashes)
-                         for n in range(day.gateways)]
+        self.gateways = [
+            Gateway(self, n, self.chance.share() < day.heeds, self.chance.share() < day.hashes)
+            for n in range(day.gateways)
+        ]
         for out in day.outs:
             self.at(out.at, self.go_out, out)
         for restart in day.restarts:
@@ -69,8 +93,17 @@
         w, mix = d.WORKLOADS[workload], d.MIX[workload]
         work = mix.work * (0.4 - 0.6 * math.log(1 - chance.share()))
         hint = work * math.exp(SPREAD * (chance.share() + chance.share() - 1))
-        asked = Asked(self.now, workload, work, hint, chance.share(), self.tenant(), self.subject(),
-                      self.now + w.cut_off, w.effect is it.Effect.UNREPEATABLE)
+        asked = Asked(
+            self.now,
+            workload,
+            work,
+            hint,
+            chance.share(),
+            self.tenant(),
+            self.subject(),
+            self.now + w.cut_off,
+            w.effect is it.Effect.UNREPEATABLE,
+        )
         self.totals.sent[workload] += 1
         self.totals.all_worth += w.revenue * work
         self.totals.by_second[int(self.now)][0] += w.revenue * work
@@ -121,8 +154,12 @@
         totals.delivered[asked.workload] += 1
         totals.late[asked.workload] += late
         totals.slim[asked.workload] += attempt.slim
-        asked.earned = w.revenue * asked.work * (w.late_share if late else 1.0) * (
-            w.poorer_share if attempt.slim else 1.0)
+        asked.earned = (
+            w.revenue
+            * asked.work
+            * (w.late_share if late else 1.0)
+            * (w.poorer_share if attempt.slim else 1.0)
+        )
         totals.worth += asked.earned
         totals.by_second[int(asked.born)][1] += asked.earned
 
@@ -135,8 +172,10 @@
     # ---- troubles
 
     def cut(self, gateway, server):
-        return any(cut.at <= self.now < cut.until and server.name in cut.servers
-                   and gateway.number in cut.gateways for cut in self.day.cuts)
+        return any(
+            cut.at <= self.now < cut.until and server.name in cut.servers and gateway.number in cut.gateways
+            for cut in self.day.cuts
+        )
 
     def slowness(self, name):
         share = 1.0
@@ -146,8 +185,13 @@
         return share
 
     def fails(self, name):
-        return any(slow.failing and slow.at <= self.now < slow.until and name in slow.servers
-                   and self.chance.share() < slow.failing for slow in self.day.slows)
+        return any(
+            slow.failing
+            and slow.at <= self.now < slow.until
+            and name in slow.servers
+            and self.chance.share() < slow.failing
+            for slow in self.day.slows
+        )
 
     def go_out(self, out):
         for name in out.servers:
@@ -186,7 +230,9 @@
         in_goal = sum(t.delivered) - sum(t.late)
         sent = max(1, sum(t.sent))
         a = self.witness.answers
-        return (f"sent={sent} delivered={sum(t.delivered)} in_goal={in_goal / sent:.4f} slim={sum(t.slim)} "
-                f"turned_back={a[seen.TURNED_BACK]} written_off={a[seen.WRITTEN_OFF]} "
-                f"earned={t.worth / max(1e-9, t.all_worth):.4f} worst_10s={t.worst(10):.4f} "
-                f"{self.witness.line()}")
+        return (
+            f"sent={sent} delivered={sum(t.delivered)} in_goal={in_goal / sent:.4f} slim={sum(t.slim)} "
+            f"turned_back={a[seen.TURNED_BACK]} written_off={a[seen.WRITTEN_OFF]} "
+            f"earned={t.worth / max(1e-9, t.all_worth):.4f} worst_10s={t.worst(10):.4f} "
+            f"{self.witness.line()}"
+        )
--- a/valeturn/lab/fleetvirtual.py
+++ b/valeturn/lab/fleetvirtual.py
@@ -31,8 +31,15 @@
 
     def start(self, life):
         self.up, self.life = True, life
-        self.membership = ms.Membership(self.name, self.address, self.zone, life, self.net.seeds,
-                                        Chance(7919 * self.number + life), self.clock())
+        self.membership = ms.Membership(
+            self.name,
+            self.address,
+            self.zone,
+            life,
+            self.net.seeds,
+            Chance(7919 * self.number + life),
+            self.clock(),
+        )
 
     def clock(self):
         return self.net.now * self.rate + self.offset
@@ -93,7 +100,7 @@
         if self.bytes_too:
             data = wire.encode("lab", node.name, node.membership.me.life, kind, fields)
             self.size += len(data)
-            message, = wire.Decoder("lab").feed(data)
+            (message,) = wire.Decoder("lab").feed(data)
             kind, fields = message.kind, message.fields
         other = self.by_address.get(address)
         if other is None or self.chance.share() < self.loss or self.cut(node, other):
@@ -167,11 +174,15 @@
         net.back(node)
         net.until_agreed(60.0)
     hours = quiet / 3600 * count
-    print(f"servers={count} seed={seed} loss={loss:g} slow={slow:g} "
-          f"joined_in={-1 if joined is None else joined:.1f}s "
-          f"messages_a_second={a_second:.2f} bytes_a_second={net.size / max(1e-9, net.now) / count:.0f} "
-          f"cpu_share={cpu_share:.5f} suspicions_a_server_hour={suspected / hours:.2f} "
-          f"falsely_gone_a_server_hour={lost / hours:.3f} killed={len(victims)} seen={len(first)} "
-          f"lost_first_p50={percentile(first, 0.5):.1f}s lost_all_p50={percentile(everyone, 0.5):.1f}s "
-          f"lost_all_most={max(everyone, default=float('nan')):.1f}s", file=out, flush=True)
+    print(
+        f"servers={count} seed={seed} loss={loss:g} slow={slow:g} "
+        f"joined_in={-1 if joined is None else joined:.1f}s "
+        f"messages_a_second={a_second:.2f} bytes_a_second={net.size / max(1e-9, net.now) / count:.0f} "
+        f"cpu_share={cpu_share:.5f} suspicions_a_server_hour={suspected / hours:.2f} "
+        f"falsely_gone_a_server_hour={lost / hours:.3f} killed={len(victims)} seen={len(first)} "
+        f"lost_first_p50={percentile(first, 0.5):.1f}s lost_all_p50={percentile(everyone, 0.5):.1f}s "
+        f"lost_all_most={max(everyone, default=float('nan')):.1f}s",
+        file=out,
+        flush=True,
+    )
     return len(first) == len(victims)
--- a/valeturn/lab/floods.py
+++ b/valeturn/lab/floods.py
@@ -124,8 +124,9 @@
 
     def plan(self, workload, body):
         share = self.work.share()
-        return Plan(0.002 + 0.04 * share * share, workload == "file", self.work.share() < 0.02,
-                    workload != "quote")
+        return Plan(
+            0.002 + 0.04 * share * share, workload == "file", self.work.share() < 0.02, workload != "quote"
+        )
 
     async def set_up(self):
         _, self.link_address = await listen(self.join)
@@ -137,8 +138,11 @@
         await self.executors[self.life].serve(reader, writer)
 
     def write_configuration(self):
-        addresses = {"executor": self.link_address, "ledger": self.chance_of(self.world.ledgers),
-                     "naming": self.chance_of(self.world.namings)}
+        addresses = {
+            "executor": self.link_address,
+            "ledger": self.chance_of(self.world.ledgers),
+            "naming": self.chance_of(self.world.namings),
+        }
         raw = configuration(addresses, self.address, 1 + self.number)
         raw["name"], raw["stop_ms"] = f"n{self.number}", 1000 * STOP
         raw["limits"] = {"cores": 1.0, "memory_mb": 48, "sockets": 72}  # small, so that connections run out
@@ -152,8 +156,13 @@
         self.life += 1
         self.executors[self.life] = Executor(self.plan)
         with open(self.folder / "log", "ab") as log:
-            self.process = subprocess.Popen([sys.executable, *self.world.serve, str(self.config)],
-                                            cwd=self.world.root, stdout=log, stderr=log, env=self.world.env)
+            self.process = subprocess.Popen(
+                [sys.executable, *self.world.serve, str(self.config)],
+                cwd=self.world.root,
+                stdout=log,
+                stderr=log,
+                env=self.world.env,
+            )
 
     async def serving(self):
         until = time.monotonic() + START
@@ -281,11 +290,12 @@
         while len(data) >= 9:
             length, kind, stream = struct.unpack_from("<IBI", data)
             if kind == 8 and stream == 1:
-                outcome = CODES[read_answer(data[9:4 + length])[0]]
-            data = data[4 + length:]
+                outcome = CODES[read_answer(data[9 : 4 + length])[0]]
+            data = data[4 + length :]
         now = time.monotonic()
         self.world.sent.append(
-            Sent(self.number, life, "half closed", "quote", call, began, now, outcome, b""))
+            Sent(self.number, life, "half closed", "quote", call, began, now, outcome, b"")
+        )
 
     FAULTS = (restart, restart, kill, pause, move, cut, cut, spoil, flood, flood)
 
@@ -322,8 +332,7 @@
             await one.set_up()
             one.begin()
         await asyncio.gather(*(one.serving() for one in self.servers))
-        scripts = [asyncio.ensure_future(self.caller(one, n))
-                   for one in self.servers for n in range(CALLERS)]
+        scripts = [asyncio.ensure_future(self.caller(one, n)) for one in self.servers for n in range(CALLERS)]
         troubles = asyncio.ensure_future(self.troubles())
         await asyncio.gather(*(one.storm(faults) for one in self.servers))
         self.over = True
@@ -389,7 +398,8 @@
         if connection.ended and outcome == CUT and sent + 0.001 > time.monotonic():
             return  # it had ended before: nothing was written
         self.sent.append(
-            Sent(server.number, life, key, workload, call, sent, time.monotonic(), outcome, result))
+            Sent(server.number, life, key, workload, call, sent, time.monotonic(), outcome, result)
+        )
 
     # ---- the witness
 
@@ -412,8 +422,11 @@
                     lost.append(one)
             elif one.outcome == TURNED_BACK and one.call in runs:
                 wrong.append(("turned back though it ran", one))
-            elif one.outcome == DELIVERED and one.workload != "quote" and (
-                    one.result != results.get((one.workload, one.key.encode()))):
+            elif (
+                one.outcome == DELIVERED
+                and one.workload != "quote"
+                and (one.result != results.get((one.workload, one.key.encode())))
+            ):
                 wrong.append(("another result", one))
         return Broken(lost, twice, wrong, crashed, faults)
 
@@ -447,8 +460,11 @@
         counts = " ".join(f"{name}={len(value)}" for name, value in broken._asdict().items())
         outcomes = Counter(one.outcome for one in world.sent)
         lives = sum(server.life for server in world.servers)
-        print(f"seed={seed} lives={lives} submissions={len(world.sent)} delivered={outcomes[DELIVERED]} "
-              f"turned_back={outcomes[TURNED_BACK]} cut={outcomes[CUT]} {counts}", flush=True)
+        print(
+            f"seed={seed} lives={lives} submissions={len(world.sent)} delivered={outcomes[DELIVERED]} "
+            f"turned_back={outcomes[TURNED_BACK]} cut={outcomes[CUT]} {counts}",
+            flush=True,
+        )
         for name, value in broken._asdict().items():
             for one in value[:5]:
                 print(f"{name}: {one}", file=sys.stderr)
--- a/valeturn/lab/levelsreal.py
+++ b/valeturn/lab/levelsreal.py
@@ -33,9 +33,14 @@
     names = [w.name for w in WORKLOADS]
     out = []
     for name, rank, enter, leave, stay, gives in LEVELS:
-        out += [f"[level {name}]", f"rank = {rank}", f"enter = {enter}", f"leave = {leave}",
-                f"stay = {stay:g} s",
-                f"without_call = {', '.join(names[index] for index in sorted(gives.without_call))}"]
+        out += [
+            f"[level {name}]",
+            f"rank = {rank}",
+            f"enter = {enter}",
+            f"leave = {leave}",
+            f"stay = {stay:g} s",
+            f"without_call = {', '.join(names[index] for index in sorted(gives.without_call))}",
+        ]
         out += [f"least_rank = {100 * gives.least_rank:g} %"] if gives.least_rank else []
     return "\n".join(out) + "\n"
 
@@ -44,25 +49,48 @@
     """A real server's configuration for the emulator's settings. s: interface.Settings."""
     effects = {"may run again": "safe", "must never run twice": "unsafe"}
     return {
-        "name": f"n{number}", "listen": "%s:%d" % listen_at, "seed": f"{1000 + number:x}", "stop_ms": 2000,
+        "name": f"n{number}",
+        "listen": "%s:%d" % listen_at,
+        "seed": f"{1000 + number:x}",
+        "stop_ms": 2000,
         **{name: "%s:%d" % address for name, address in addresses.items()},
         "limits": {"cores": 1.0, "memory_mb": 128, "sockets": 512},
         "settings": {
-            "servers": s.servers, "tick_ms": 1000 * s.tick, "counted_by": "request",
+            "servers": s.servers,
+            "tick_ms": 1000 * s.tick,
+            "counted_by": "request",
             "request_classes": [
-                {"name": w.name, "semantics": effects[w.effect.value], "goal_time_ms": 1000 * w.latency_goal,
-                 "give_up_ms": 1000 * w.cut_off, "worth": w.revenue, "late_share": w.late_share}
-                for w in s.workloads],
+                {
+                    "name": w.name,
+                    "semantics": effects[w.effect.value],
+                    "goal_time_ms": 1000 * w.latency_goal,
+                    "give_up_ms": 1000 * w.cut_off,
+                    "worth": w.revenue,
+                    "late_share": w.late_share,
+                }
+                for w in s.workloads
+            ],
             "tenants": [{"name": "acme", "allowance_per_s": 1e6}],
-            "rules": {"cold_ms": 0, "drain_grace_ms": 500, "grace_to_answer_ms": 1000 * s.answer_slack,
-                      "overload_factor": s.crowd_factor},
+            "rules": {
+                "cold_ms": 0,
+                "drain_grace_ms": 500,
+                "grace_to_answer_ms": 1000 * s.answer_slack,
+                "overload_factor": s.crowd_factor,
+            },
             "allowed": {"retry_after": True, "max_retry_after_ms": 1000 * s.longest_advice},
             "domain": {
-                "cpus": s.cores, "heap_kb": s.memory, "run_mem_factor": s.run_memory_factor, "halt": "drop",
-                "passes_deadline": True, "calls_by_class": [w.calls for w in s.workloads],
-                "degraded_worth": [w.poorer_share for w in s.workloads], "calls_out": s.calls_share,
-                "calls_over_ms": 1000 * s.calls_window, "linger_ms": 1000 * s.call_linger,
-                "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"]},
+                "cpus": s.cores,
+                "heap_kb": s.memory,
+                "run_mem_factor": s.run_memory_factor,
+                "halt": "drop",
+                "passes_deadline": True,
+                "calls_by_class": [w.calls for w in s.workloads],
+                "degraded_worth": [w.poorer_share for w in s.workloads],
+                "calls_out": s.calls_share,
+                "calls_over_ms": 1000 * s.calls_window,
+                "linger_ms": 1000 * s.call_linger,
+                "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"],
+            },
         },
     }
 
@@ -161,10 +189,18 @@
             words = ["serve", "--config", str(config)]
             words += ["--settings", str(self.folder / "valeturn.ini")] if self.with_levels else []
             with open(self.folder / f"n{number}.log", "wb") as log:
-                self.processes.append(await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "valeturn", *words, stdout=log, stderr=log,
-                    cwd=pathlib.Path(__file__).resolve().parents[2],
-                    env={k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}))
+                self.processes.append(
+                    await asyncio.create_subprocess_exec(
+                        sys.executable,
+                        "-m",
+                        "valeturn",
+                        *words,
+                        stdout=log,
+                        stderr=log,
+                        cwd=pathlib.Path(__file__).resolve().parents[2],
+                        env={k: v for k, v in os.environ.items() if not k.startswith("EDGE_")},
+                    )
+                )
         for number in range(self.servers):
             for _ in range(200):
                 if b"event=welcome" in (self.folder / f"n{number}.log").read_bytes():
@@ -228,17 +264,21 @@
             await asyncio.sleep(BACK_OFF * (0.75 + 0.5 * self.chance.share()))
 
     def line(self):
-        return (f"submissions={len(self.works)} earned={self.worth / max(1e-9, self.all_worth):.4f} "
-                f"slim={self.slim} changes_a_server={self.changes / self.servers:.1f} lost={self.lost} "
-                f"twice={self.twice} answered_twice={len(self.doubled)} not_clean={self.unclean}")
+        return (
+            f"submissions={len(self.works)} earned={self.worth / max(1e-9, self.all_worth):.4f} "
+            f"slim={self.slim} changes_a_server={self.changes / self.servers:.1f} lost={self.lost} "
+            f"twice={self.twice} answered_twice={len(self.doubled)} not_clean={self.unclean}"
+        )
 
     def broken(self):
         return self.lost + self.twice + len(self.doubled) + self.unclean
 
 
 async def both(folder, shape, seconds, servers, seed):
-    fleets = [Fleet(folder / name, shape, seconds, servers, on, seed)
-              for name, on in (("without", False), ("with", True))]
+    fleets = [
+        Fleet(folder / name, shape, seconds, servers, on, seed)
+        for name, on in (("without", False), ("with", True))
+    ]
     await asyncio.gather(*(fleet.run() for fleet in fleets))
     return fleets
 
@@ -253,12 +293,22 @@
     emulated = [play(shape, servers, float(seconds), on, seed) for on in (False, True)]
     for name, fleet, totals in zip(("without", "with   "), fleets, emulated):
         print(f"real     {name}: {fleet.line()}", file=out)
-        print(f"emulated {name}: earned={totals.worth / max(1e-9, totals.all_worth):.4f} "
-              f"slim={sum(totals.slim)} changes_a_server={totals.changes / servers:.1f}", file=out)
-    gains = [(b - a) for a, b in (
-        [fleet.worth / max(1e-9, fleet.all_worth) for fleet in fleets],
-        [totals.worth / max(1e-9, totals.all_worth) for totals in emulated])]
-    print(f"shape={shape} seconds={seconds} servers={servers} capacity={CAPACITY:.1f}/s a server "
-          f"gain_real={gains[0]:+.4f} gain_emulated={gains[1]:+.4f} "
-          f"rules_broken={sum(fleet.broken() for fleet in fleets)}", file=out)
+        print(
+            f"emulated {name}: earned={totals.worth / max(1e-9, totals.all_worth):.4f} "
+            f"slim={sum(totals.slim)} changes_a_server={totals.changes / servers:.1f}",
+            file=out,
+        )
+    gains = [
+        (b - a)
+        for a, b in (
+            [fleet.worth / max(1e-9, fleet.all_worth) for fleet in fleets],
+            [totals.worth / max(1e-9, totals.all_worth) for totals in emulated],
+        )
+    ]
+    print(
+        f"shape={shape} seconds={seconds} servers={servers} capacity={CAPACITY:.1f}/s a server "
+        f"gain_real={gains[0]:+.4f} gain_emulated={gains[1]:+.4f} "
+        f"rules_broken={sum(fleet.broken() for fleet in fleets)}",
+        file=out,
+    )
     return 1 if any(fleet.broken() for fleet in fleets) else 0
--- a/valeturn/lab/ownervirtual.py
+++ b/valeturn/lab/ownervirtual.py
@@ -91,7 +91,7 @@
 
 
 def hash_of(name):
-    return sum(31 ** n * b for n, b in enumerate(name.encode()))
+    return sum(31**n * b for n, b in enumerate(name.encode()))
 
 
 class Storm(Timeline):
@@ -111,8 +111,11 @@
         self.wiped = set()
 
     def look(self):
-        acting = [(v.name, v.owner.kept.term) for v in self.voters.values()
-                  if v.up and not v.stopped and v.owner.leads(v.clock())]
+        acting = [
+            (v.name, v.owner.kept.term)
+            for v in self.voters.values()
+            if v.up and not v.stopped and v.owner.leads(v.clock())
+        ]
         self.witness.look(self.now, acting)
 
     def send(self, sender, effect):
@@ -129,8 +132,9 @@
             self.voters[to].hear(sender, kind, fields)
 
     def leader(self):
-        return next((v for v in self.voters.values()
-                     if v.up and not v.stopped and v.owner.leads(v.clock())), None)
+        return next(
+            (v for v in self.voters.values() if v.up and not v.stopped and v.owner.leads(v.clock())), None
+        )
 
     # ---- faults
 
@@ -166,7 +170,8 @@
             leader = self.leader()
             if leader is not None:
                 self.granted += leader.owner.propose(
-                    leader.clock(), ("grant", f"d{int(3 * share())}", leader.name, leader.life))
+                    leader.clock(), ("grant", f"d{int(3 * share())}", leader.name, leader.life)
+                )
                 leader.carry(leader.owner.tick(leader.clock()))
         else:
             leader = self.leader()
@@ -242,12 +247,18 @@
         w = storm.witness
         bad, terms, done = bad + w.broken(), terms + len(w.terms), done + storm.faults
         unowned += w.unowned
-        print(f"seed={seed} faults={storm.faults} terms={len(w.terms)} facts={len(w.facts)} "
-              f"owners_at_once={len(w.at_once)} forked={len(w.forked)} two_in_a_term={len(w.two_in_a_term)} "
-              f"fences_fell={len(w.fences_fell)} led_at_the_end={int(storm.leader() is not None)}", file=out,
-              flush=True)
+        print(
+            f"seed={seed} faults={storm.faults} terms={len(w.terms)} facts={len(w.facts)} "
+            f"owners_at_once={len(w.at_once)} forked={len(w.forked)} two_in_a_term={len(w.two_in_a_term)} "
+            f"fences_fell={len(w.fences_fell)} led_at_the_end={int(storm.leader() is not None)}",
+            file=out,
+            flush=True,
+        )
     lost = [seconds for seed in seeds for seconds in owner_lost(count, seed)]
-    print(f"virtual servers={count} lease={LEASE:g}s faults={done} terms={terms} broken={bad} "
-          f"unowned_in_the_storm_p50={percentile(unowned, 0.5):.2f}s p99={percentile(unowned, 0.99):.2f}s "
-          f"owner_lost_p50={percentile(lost, 0.5):.2f}s p99={percentile(lost, 0.99):.2f}s", file=out)
+    print(
+        f"virtual servers={count} lease={LEASE:g}s faults={done} terms={terms} broken={bad} "
+        f"unowned_in_the_storm_p50={percentile(unowned, 0.5):.2f}s p99={percentile(unowned, 0.99):.2f}s "
+        f"owner_lost_p50={percentile(lost, 0.5):.2f}s p99={percentile(lost, 0.99):.2f}s",
+        file=out,
+    )
     return 1 if bad else 0
--- a/valeturn/lab/shares.py
+++ b/valeturn/lab/shares.py
@@ -155,8 +155,15 @@
 def lent(holder=Holder, splitter=Splitter):
     """The first has promised less and said so; what the second may borrow is on its way."""
     world = begin(holder, splitter)
-    for action in (("ask", 0, ""), ("deliver", 0, ""), ("deliver", 0, ""), ("ask", 0, ""), ("deliver", 0, ""),
-                   ("ask", 1, ""), ("deliver", 1, "")):
+    for action in (
+        ("ask", 0, ""),
+        ("deliver", 0, ""),
+        ("deliver", 0, ""),
+        ("ask", 0, ""),
+        ("deliver", 0, ""),
+        ("ask", 1, ""),
+        ("deliver", 1, ""),
+    ):
         world, _ = act(world, action, holder, splitter)
     world.flying = [one for one in world.flying if one[1] == 1]
     world.used = dict.fromkeys(world.used, 0)
@@ -216,23 +223,63 @@
         return round(min(9.0, max(-9.0, at - world.now)), 3)
 
     s = world.splitter
-    places = tuple((n, p.need, ago(p.asked), p.held, ago(p.until), p.not_before,
-                    tuple((a, b, ago(c)) for a, b, c in p.sent)) for n, p in sorted(s.places.items()))
-    holders = tuple((h.fence, h.number, h.source, h.amount, ago(h.until), tuple(map(ago, h.stamps)))
-                    for h in world.holders)
-    flying = tuple(sorted(repr(("ask", one[1], ago(one[3]), one[4]) if one[0] == "ask" else
-                               ("grant", one[1], one[2][:3], ago(one[2].stamp))) for one in world.flying))
-    return hash((world.fence, s.number, ago(s.more_from), ago(s.split_at), places, holders, flying,
-                 tuple(world.used.items())))
+    places = tuple(
+        (
+            n,
+            p.need,
+            ago(p.asked),
+            p.held,
+            ago(p.until),
+            p.not_before,
+            tuple((a, b, ago(c)) for a, b, c in p.sent),
+        )
+        for n, p in sorted(s.places.items())
+    )
+    holders = tuple(
+        (h.fence, h.number, h.source, h.amount, ago(h.until), tuple(map(ago, h.stamps)))
+        for h in world.holders
+    )
+    flying = tuple(
+        sorted(
+            repr(
+                ("ask", one[1], ago(one[3]), one[4])
+                if one[0] == "ask"
+                else ("grant", one[1], one[2][:3], ago(one[2].stamp))
+            )
+            for one in world.flying
+        )
+    )
+    return hash(
+        (
+            world.fence,
+            s.number,
+            ago(s.more_from),
+            ago(s.split_at),
+            places,
+            holders,
+            flying,
+            tuple(world.used.items()),
+        )
+    )
 
 
 def explore(bounds, holder=Holder, splitter=Splitter, start=begin):
-    return search(start(holder, splitter), bounds, lambda world: actions(world, bounds),
-                  lambda world, action: act(world, action, holder, splitter), key)
+    return search(
+        start(holder, splitter),
+        bounds,
+        lambda world: actions(world, bounds),
+        lambda world, action: act(world, action, holder, splitter),
+        key,
+    )
 
 
-WORDS = {"deliver": "arrives: {1} {0}", "ask": "server {0} asks", "time": "half a grant's time passes",
-         "owner": "another owner", "restart": "server {0} is killed and back"}
+WORDS = {
+    "deliver": "arrives: {1} {0}",
+    "ask": "server {0} asks",
+    "time": "half a grant's time passes",
+    "owner": "another owner",
+    "restart": "server {0} is killed and back",
+}
 
 
 def tell(story):
@@ -250,12 +297,17 @@
             bad += 1
             print(f"seed={seed} over the cap at {over.args[0]:.3f} s: {over.args[1]:.3f}", file=out)
         lent += play.lent
-    print(f"virtual servers={servers} seeds={len(seeds)} minutes={5 * len(seeds)} lent={lent} over_cap={bad}",
-          file=out)
+    print(
+        f"virtual servers={servers} seeds={len(seeds)} minutes={5 * len(seeds)} lent={lent} over_cap={bad}",
+        file=out,
+    )
     began = time.perf_counter()
     found = explore(Bounds())
-    print(f"explored states={found.states} depth={found.depth} whole={int(found.whole)} "
-          f"broken={found.broken or 0} seconds={time.perf_counter() - began:.1f}", file=out)
+    print(
+        f"explored states={found.states} depth={found.depth} whole={int(found.whole)} "
+        f"broken={found.broken or 0} seconds={time.perf_counter() - began:.1f}",
+        file=out,
+    )
     for line in tell(found.story):
         print("  " + line, file=out)
     return 1 if bad or found.broken else 0
--- a/valeturn/lab/turns.py
+++ b/valeturn/lab/turns.py
@@ -3,7 +3,7 @@
 
 A server is its cores and how warm it is; the load is spread over all that serve, and what is over their cores
 is lost. Reports and facts take a moment; machines fail by chance where `troubles` says so. No owner changes
-here: the real servers of `lab turns` have those. """
+here: the real servers of `lab turns` have those."""
 
 from __future__ import annotations
 
--- a/valeturn/levels/reach.py
+++ b/valeturn/levels/reach.py
@@ -32,8 +32,12 @@
         if one.above and not one.usual and most is not None and one.value >= most:
             return f"{one.signal} can't pass {_told(one.signal, most)} here"
         for other in row:
-            if (one.signal, one.usual) == (other.signal, other.usual) and one.above and not other.above and (
-                    one.value >= other.value):
+            if (
+                (one.signal, one.usual) == (other.signal, other.usual)
+                and one.above
+                and not other.above
+                and (one.value >= other.value)
+            ):
                 return f"{one.signal} can't be over and under at once"
     return None
 
--- a/valeturn/options/kinds.py
+++ b/valeturn/options/kinds.py
@@ -49,7 +49,7 @@
         if not self.least <= value <= self.most or not math.isfinite(value):
             raise Wants(
                 "out-of-range",
-                f"wants {self.family} from {self.say(self.least)} to " f"{self.say(self.most)}, has {text!r}",
+                f"wants {self.family} from {self.say(self.least)} to {self.say(self.most)}, has {text!r}",
             )
         return int(value) if self.family == "a size" else value
 
--- a/valeturn/program/commands.py
+++ b/valeturn/program/commands.py
@@ -112,9 +112,15 @@
 PACKAGE = __name__.partition(".")[0]
 # First word -> the module that carries it out, with run(given) for docopt's words. lab and fleet, which come
 # first, have words like the others'.
-COMMANDS = {"lab": "lab.commands", "fleet": "fleet.commands", "store": "store.commands",
-            "status": "control.commands",
-            "metrics": "control.commands", "top": "control.commands", "level": "control.commands"}
+COMMANDS = {
+    "lab": "lab.commands",
+    "fleet": "fleet.commands",
+    "store": "store.commands",
+    "status": "control.commands",
+    "metrics": "control.commands",
+    "top": "control.commands",
+    "level": "control.commands",
+}
 
 TURNS = ("out", "back", "turns", "hold", "go-on")  # words behind `fleet` that are about machines going out
 
--- a/valeturn/program/configuration.py
+++ b/valeturn/program/configuration.py
@@ -53,8 +53,12 @@
     told = {"name": environment.get("EDGE_NAME"), "listen": environment.get("EDGE_LISTEN")}
     raw = {**raw, **{field: value for field, value in told.items() if value}}
     name = raw.get("name")
-    if not isinstance(name, str) or not name.isascii() or not name or not all(
-            c.isalnum() or c in "-_." for c in name):
+    if (
+        not isinstance(name, str)
+        or not name.isascii()
+        or not name
+        or not all(c.isalnum() or c in "-_." for c in name)
+    ):
         raise Wrong(f"name: wants letters, digits, '-', '_' or '.', has {name!r}")
     try:
         seed = int(raw.get("seed"), 16)
@@ -75,17 +79,23 @@
         raise Wrong(f"settings: {type(error).__name__}: {error}") from None
     _check(names.settings)
     return Configuration(
-        name, _address(raw, "listen"), _address(raw, "executor"), _address(raw, "naming"),
-        _address(raw, "ledger"), seed, _number(raw, "stop_ms", 1, 3.6e6, 3000) / 1000.0,
+        name,
+        _address(raw, "listen"),
+        _address(raw, "executor"),
+        _address(raw, "naming"),
+        _address(raw, "ledger"),
+        seed,
+        _number(raw, "stop_ms", 1, 3.6e6, 3000) / 1000.0,
         int(_number(limits, "sockets", 64, 1e6, 1024, "limits.")),
         _number(limits, "memory_mb", 24, 1e6, 192, "limits."),
-        _number(limits, "cores", 0.01, 1e3, 1.0, "limits."), names)
+        _number(limits, "cores", 0.01, 1e3, 1.0, "limits."),
+        names,
+    )
 
 
 def _check(s):
     """What the module can't decide with; the rest it takes as it comes, small and zero too."""
-    for field, value, least in (
-            ("domain.cpus", s.cores, 1), ("rules.overload_factor", s.crowd_factor, 1)):
+    for field, value, least in (("domain.cpus", s.cores, 1), ("rules.overload_factor", s.crowd_factor, 1)):
         if not value >= least:
             raise Wrong(f"settings.{field}: wants a number of at least {least}, has {value!r}")
     for index, w in enumerate(s.workloads):
--- a/valeturn/program/counters.py
+++ b/valeturn/program/counters.py
@@ -43,10 +43,12 @@
         used = resource.getrusage(resource.RUSAGE_SELF)
         cpu, submissions = used.ru_utime + used.ru_stime, self.counts.get("in.submissions", 0)
         return {
-            "seconds": time.monotonic() - self.began, "cpu_s": cpu,
+            "seconds": time.monotonic() - self.began,
+            "cpu_s": cpu,
             "cpu_ms_per_submission": 1000.0 * cpu / max(1, submissions),
             "memory_most_mb": used.ru_maxrss / 1024,
-            "turns": scheduler.turns, "timers": scheduler.timers_met,
+            "turns": scheduler.turns,
+            "timers": scheduler.timers_met,
             "lag_mean_ms": 1000.0 * scheduler.lag_sum / max(1, scheduler.timers_met),
             "lag_most_ms": 1000.0 * scheduler.lag_most,
         }
--- a/valeturn/program/logs.py
+++ b/valeturn/program/logs.py
@@ -13,14 +13,18 @@
 
 
 def pairs(fields):
-    return Logfmter.format_params({
-        key: f"{value:.6g}" if isinstance(value, float) else str(value) for key, value in fields.items()})
+    return Logfmter.format_params(
+        {key: f"{value:.6g}" if isinstance(value, float) else str(value) for key, value in fields.items()}
+    )
 
 
 class KeyValue(logging.Formatter):
     def format(self, record):
-        fields = {"at": f"{record.created:.3f}", "level": record.levelname.lower(),
-                  "event": record.getMessage()}
+        fields = {
+            "at": f"{record.created:.3f}",
+            "level": record.levelname.lower(),
+            "event": record.getMessage(),
+        }
         fields.update(getattr(record, "fields", {}))
         if record.exc_info:
             fields["trace"] = self.formatException(record.exc_info)
@@ -48,7 +52,7 @@
                 self.dropped += 1
                 return
             try:
-                os.write(self.descriptor, data[start:start + select.PIPE_BUF])
+                os.write(self.descriptor, data[start : start + select.PIPE_BUF])
             except OSError:
                 self.dropped += 1
                 return
@@ -62,7 +66,11 @@
     LOGGER.setLevel(logging.INFO)
 
     def log(event, fields=None, fault=None):
-        LOGGER.log(logging.INFO if fault is None else logging.ERROR, event,
-                   extra={"fields": {"server": name, **(fields or {})}}, exc_info=fault)
+        LOGGER.log(
+            logging.INFO if fault is None else logging.ERROR,
+            event,
+            extra={"fields": {"server": name, **(fields or {})}},
+            exc_info=fault,
+        )
 
     return log
--- a/valeturn/program/parts/control.py
+++ b/valeturn/program/parts/control.py
@@ -6,9 +6,13 @@
 from ...control.server import Control, InUse
 from . import Part as Base
 
-NO_PART = {requests.Metrics: "no metrics are configured", requests.Hold: "no levels are configured",
-           requests.Free: "no levels are configured", requests.Fleet: "this server is in no fleet",
-           requests.Turns: "no turns are configured"}
+NO_PART = {
+    requests.Metrics: "no metrics are configured",
+    requests.Hold: "no levels are configured",
+    requests.Free: "no levels are configured",
+    requests.Fleet: "this server is in no fleet",
+    requests.Turns: "no turns are configured",
+}
 
 
 class Part(Base):
--- a/valeturn/program/parts/levels.py
+++ b/valeturn/program/parts/levels.py
@@ -15,8 +15,9 @@
     def __init__(self, server, built):
         super().__init__(server, built)
         names = server.configuration.names
-        self.reducing = Reducing(server.scheduler.clock(), make(built, names), names.settings,
-                                 server.counters.add, server.log)
+        self.reducing = Reducing(
+            server.scheduler.clock(), make(built, names), names.settings, server.counters.add, server.log
+        )
 
     def figures(self):
         return self.reducing.figures(self.server.scheduler.clock())
--- a/valeturn/program/parts/store.py
+++ b/valeturn/program/parts/store.py
@@ -25,8 +25,16 @@
         try:
             if not files.prepare():
                 raise Wrong(f"store: {built.folder}: another process has it")
-            self.kept = Kept(built, limits, files, Helper(), lambda: clock.read(boot_id), longest,
-                             server.counters.add, server.log)
+            self.kept = Kept(
+                built,
+                limits,
+                files,
+                Helper(),
+                lambda: clock.read(boot_id),
+                longest,
+                server.counters.add,
+                server.log,
+            )
         except (Refused, OSError) as error:
             raise Wrong(f"store: {built.folder}: {error}") from None
         server.log("store_opened", {**self.kept.figures(), "records_read": self.kept.found.records})
--- a/valeturn/program/server.py
+++ b/valeturn/program/server.py
@@ -57,19 +57,28 @@
         most = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         sockets = c.sockets if most == resource.RLIM_INFINITY else min(c.sockets, most)
         self.options, self.seams = options, seams or Seams()
-        taken = 0.0 if options is None else LIBRARIES_MB + sum(
-            getattr(built, "memory", 0) / 1e6 for built in options.sections.values())
+        taken = (
+            0.0
+            if options is None
+            else LIBRARIES_MB + sum(getattr(built, "memory", 0) / 1e6 for built in options.sections.values())
+        )
         bounds = self.bounds = derive(sockets, c.memory_mb, taken)
         self.parts = self.open_parts()
         self.ledger = Ledger(scheduler, c.ledger, bounds.calls, put, count)
         self.gateways = Gateways(scheduler, put, c.names, bounds, count)
         self.reporter = Reporter(scheduler, c.naming, c.name, chance, count)
-        self.core = Core(scheduler, c.names, bounds, Pace(scheduler.clock, c.cores), self.make_rules,
-                         Parties(self.link, self.ledger, self.gateways, self.reporter),
-                         Telling(count, self.counters.times, log),
-                         getattr(self.parts.get("store"), "kept", None),
-                         getattr(self.parts.get("level"), "reducing", None),
-                         getattr(self.parts.get("duty"), "sharing", None))
+        self.core = Core(
+            scheduler,
+            c.names,
+            bounds,
+            Pace(scheduler.clock, c.cores),
+            self.make_rules,
+            Parties(self.link, self.ledger, self.gateways, self.reporter),
+            Telling(count, self.counters.times, log),
+            getattr(self.parts.get("store"), "kept", None),
+            getattr(self.parts.get("level"), "reducing", None),
+            getattr(self.parts.get("duty"), "sharing", None),
+        )
         self.core.trace = log if verbose else None
         self.leave_at = self.stop_at = None
         self.margin = min(MARGIN, MARGIN_SHARE * c.stop)
@@ -88,8 +97,11 @@
         """A server is cold if its executor was just started cold or its settings say so; warmth counts from
         the executor's start."""
         settings = self.configuration.names.settings
-        return Rules(settings._replace(cold=settings.cold or cold), self.configuration.seed,
-                     self.scheduler.clock() - age)
+        return Rules(
+            settings._replace(cold=settings.cold or cold),
+            self.configuration.seed,
+            self.scheduler.clock() - age,
+        )
 
     def task_failed(self, task, error):
         self.counters.add("errors." + task.name)
@@ -104,12 +116,18 @@
     def serve(self):
         c, scheduler = self.configuration, self.scheduler
         sock = listening(c.listen, self.wait_for_address, scheduler.clock)  # signals are held until then
-        Signals(scheduler, {
-            signal.SIGTERM: self.leave, signal.SIGINT: self.leave, signal.SIGHUP: self.reload_apart,
-            signal.SIGUSR1: lambda: self.counters.print(self.log, scheduler, self.beliefs())})
+        Signals(
+            scheduler,
+            {
+                signal.SIGTERM: self.leave,
+                signal.SIGINT: self.leave,
+                signal.SIGHUP: self.reload_apart,
+                signal.SIGUSR1: lambda: self.counters.print(self.log, scheduler, self.beliefs()),
+            },
+        )
         self.gateways.listener = Listener(
-            scheduler, c.listen, self.bounds.connections, self.gateways.accept, self.gateways.evict,
-            sock)
+            scheduler, c.listen, self.bounds.connections, self.gateways.accept, self.gateways.evict, sock
+        )
         self.log("listening", {"address": f"{c.listen[0]}:{c.listen[1]}", **self.bounds._asdict()})
         scheduler.spawn(self.core.run, name="core", late=True)
         scheduler.spawn_lasting(self.sweep, name="sweep")
@@ -135,10 +153,18 @@
     def status(self):
         """What an operator is told of this server at the moment."""
         groups, now = self.counters.groups(), self.scheduler.clock()
-        return {"name": self.configuration.name, "version": __version__, "up_s": now - self.came,
-                "leaving": self.leave_at is not None, "beliefs": self.beliefs(), "out": groups.get("out", {}),
-                "counters": groups, "times_ms": self.counters.times.means(), "level": None,
-                **{key: value for part in self.parts.values() for key, value in part.status().items()}}
+        return {
+            "name": self.configuration.name,
+            "version": __version__,
+            "up_s": now - self.came,
+            "leaving": self.leave_at is not None,
+            "beliefs": self.beliefs(),
+            "out": groups.get("out", {}),
+            "counters": groups,
+            "times_ms": self.counters.times.means(),
+            "level": None,
+            **{key: value for part in self.parts.values() for key, value in part.status().items()},
+        }
 
     def sweep(self):
         while True:
@@ -157,11 +183,16 @@
     def beliefs(self):
         """What this server holds to be so at the moment, to be compared with what crosses the sockets."""
         connections = self.gateways.connections
-        return {**self.core.beliefs(), "calls_out": len(self.ledger.out), "connections": len(connections),
-                "connections_in_use": sum(bool(one.open) for one in connections),
-                "report_age_s": self.scheduler.clock() - self.reporter.reported_at,
-                "link_up": int(self.link.up), "cpu_share": self.core.pace.share,
-                **{key: value for part in self.parts.values() for key, value in part.beliefs().items()}}
+        return {
+            **self.core.beliefs(),
+            "calls_out": len(self.ledger.out),
+            "connections": len(connections),
+            "connections_in_use": sum(bool(one.open) for one in connections),
+            "report_age_s": self.scheduler.clock() - self.reporter.reported_at,
+            "link_up": int(self.link.up),
+            "cpu_share": self.core.pace.share,
+            **{key: value for part in self.parts.values() for key, value in part.beliefs().items()},
+        }
 
     def leave(self):
         if self.leave_at is None:
@@ -209,8 +240,13 @@
         if options != self.options and not self.take_sections(options):
             changed.append("settings")
         self.counters.add("reload.taken")
-        self.log("reloaded", {"moved": ",".join(moved) or "nothing",
-                              "wants_restart": ",".join(f for f in changed if f not in moved) or "nothing"})
+        self.log(
+            "reloaded",
+            {
+                "moved": ",".join(moved) or "nothing",
+                "wants_restart": ",".join(f for f in changed if f not in moved) or "nothing",
+            },
+        )
 
     def take_sections(self, options):
         """True where all sections that changed are carried out by their parts; else none is."""
@@ -237,8 +273,9 @@
         now, margin = self.scheduler.clock, self.margin
         last = self.stop_at - margin
         self.core.put(Leaving(last - now()))  # the module must be done before the process is
-        grace = max(0.0, min(self.configuration.names.settings.drain_grace,
-                             self.configuration.stop - 2 * margin))
+        grace = max(
+            0.0, min(self.configuration.names.settings.drain_grace, self.configuration.stop - 2 * margin)
+        )
         self.scheduler.sleep(self.leave_at + grace - now())
         self.gateways.ask_all_to_close(min(CLOSING, max(0.0, 0.5 * (last - now()))))
         self.gateways.listener.drain(last)
@@ -252,8 +289,14 @@
             self.scheduler.sleep(min(STEP, margin / 8))
         for part in self.parts.values():
             part.drained()
-        self.log("drained", {"connections": len(self.gateways.connections), "owed": self.core.owed(),
-                             "took": now() - self.leave_at})
+        self.log(
+            "drained",
+            {
+                "connections": len(self.gateways.connections),
+                "owed": self.core.owed(),
+                "took": now() - self.leave_at,
+            },
+        )
         self.scheduler.stop()
         for part in self.parts.values():
             part.close(max(0.01, self.stop_at - margin / 2 - now()))
--- a/valeturn/protocol/executor.py
+++ b/valeturn/protocol/executor.py
@@ -80,7 +80,7 @@
         self.held += data
         while (end := self.held.find(b"\n", start)) >= 0:
             line = bytes(self.held[:end])
-            del self.held[:end + 1]
+            del self.held[: end + 1]
             start = 0
             out.append(notice(line) if len(line) <= LONGEST else Malformed("line too long"))
             if isinstance(out[-1], Malformed):
@@ -103,8 +103,15 @@
         message = json.loads(line)
         read = NOTICES.get(message["t"], lambda m: Remark(_whole(m, "no") if "no" in m else None))
         return read(message)
-    except (ValueError, TypeError, KeyError, AttributeError, RecursionError, ArithmeticError,
-            binascii.Error) as error:
+    except (
+        ValueError,
+        TypeError,
+        KeyError,
+        AttributeError,
+        RecursionError,
+        ArithmeticError,
+        binascii.Error,
+    ) as error:
         return Malformed(f"{type(error).__name__} in {line[:80]!r}")
 
 
@@ -142,7 +149,8 @@
 def _gauges(m):
     values = m["v"]
     if not isinstance(values, list) or not all(
-            value is None or type(value) in (int, float) and math.isfinite(value) for value in values):
+        value is None or type(value) in (int, float) and math.isfinite(value) for value in values
+    ):
         raise ValueError("v is no list of numbers")
     return tuple(values)
 
@@ -153,8 +161,7 @@
     "CALLOUT": lambda m: CallWanted(_whole(m, "no"), _words(m, "rid"), _body(m)),
     "METERS": lambda m: Gauged(_words(m, "mark"), _gauges(m)),
     "DIAGNOSED": lambda m: Diagnosed(_words(m, "mark"), m["status"] == "success"),
-    "BAD": lambda m: NotCarriedOut(
-        _command(m), None if m.get("rid") is None else _words(m, "rid")),
+    "BAD": lambda m: NotCarriedOut(_command(m), None if m.get("rid") is None else _words(m, "rid")),
 }
 
 
--- a/valeturn/protocol/frames.py
+++ b/valeturn/protocol/frames.py
@@ -59,7 +59,7 @@
             data = self.pass_over(data, out)
         self.held += data
         while len(self.held) - at >= 4:
-            length = int.from_bytes(self.held[at:at + 4], "little")
+            length = int.from_bytes(self.held[at : at + 4], "little")
             if not LEAST <= length <= MOST:
                 out.append(Broken(f"frame length {length}"))
                 break
@@ -75,7 +75,7 @@
             if len(self.held) - at < 4 + length:
                 break
             _, kind, stream = HEADER.unpack_from(self.held, at)
-            out.append(_frame(kind, stream, bytes(self.held[at + HEADER.size:at + 4 + length])))
+            out.append(_frame(kind, stream, bytes(self.held[at + HEADER.size : at + 4 + length])))
             at += 4 + length
             if isinstance(out[-1], Broken):
                 break
@@ -119,10 +119,10 @@
     fields, at = {}, 1
     try:
         for _ in range(payload[0]):
-            name = payload[at + 1:at + 1 + payload[at]]
+            name = payload[at + 1 : at + 1 + payload[at]]
             at += 1 + payload[at]
-            size, = SIZE.unpack_from(payload, at)
-            value = payload[at + 2:at + 2 + size]
+            (size,) = SIZE.unpack_from(payload, at)
+            value = payload[at + 2 : at + 2 + size]
             at += 2 + size
             if at > len(payload):
                 return None
@@ -159,11 +159,21 @@
             raise ValueError("body too long")
         wait, hint = _number(fields, "ttl", LONGEST), _number(fields, "work", LONGEST)
         return Submitted(
-            stream, call, workload, fields.get("org"), _number(fields, "recv", 1e15, ...) / 1000.0,
-            None if wait is None else wait / 1000.0, None if hint is None else hint / 1000.0,
-            _number(fields, "heap", UNDER_2000, ..., 1e-9), _number(fields, "crit", UNDER_1, 0.0),
-            int(_number(fields, "src", 2**53, 0.0)), fields.get("row"), fields.get("dedupe"),
-            fields.get("rep") == "1", body)
+            stream,
+            call,
+            workload,
+            fields.get("org"),
+            _number(fields, "recv", 1e15, ...) / 1000.0,
+            None if wait is None else wait / 1000.0,
+            None if hint is None else hint / 1000.0,
+            _number(fields, "heap", UNDER_2000, ..., 1e-9),
+            _number(fields, "crit", UNDER_1, 0.0),
+            int(_number(fields, "src", 2**53, 0.0)),
+            fields.get("row"),
+            fields.get("dedupe"),
+            fields.get("rep") == "1",
+            body,
+        )
     except ValueError as error:
         return Unreadable(stream, str(error))
 
--- a/valeturn/protocol/http.py
+++ b/valeturn/protocol/http.py
@@ -63,7 +63,7 @@
         if end < 0:
             return None
         line = bytes(self.held[:end]).rstrip(b"\r")
-        del self.held[:end + 1]
+        del self.held[: end + 1]
         return line.decode("latin-1")
 
     def _head(self):
@@ -73,7 +73,7 @@
         if end < 0:
             return None
         first, *rest = bytes(self.held[:end]).decode("latin-1").split("\r\n")
-        del self.held[:end + 4]
+        del self.held[: end + 4]
         version, _, status = first.partition(" ")
         if version not in ("HTTP/1.1", "HTTP/1.0") or not status[:3].isdigit() or status[3:4].strip():
             raise ValueError("no status line")
@@ -110,8 +110,8 @@
     def _sized(self):
         if len(self.held) < self.left:
             return None
-        self.body += self.held[:self.left]
-        del self.held[:self.left]
+        self.body += self.held[: self.left]
+        del self.held[: self.left]
         return self._answer()
 
     def _rest(self):
@@ -136,10 +136,10 @@
     def _piece(self):
         if len(self.held) < self.left + 2:
             return None
-        if self.held[self.left:self.left + 2] != b"\r\n":
+        if self.held[self.left : self.left + 2] != b"\r\n":
             raise ValueError("chunk without its end")
-        self.body += self.held[:self.left]
-        del self.held[:self.left + 2]
+        self.body += self.held[: self.left]
+        del self.held[: self.left + 2]
         self.form = "chunk"
         return True
 
--- a/valeturn/routing/core.py
+++ b/valeturn/routing/core.py
@@ -25,8 +25,12 @@
 CHECKS = 64  # deep checks out at once: a large fleet's gateways in one second; past it the setting answers
 
 # What a front's connection is asked for, by the name that an answer is counted under.
-ANSWERS = {"delivered": "deliver", "turned_back": "turn_back", "written_off": "write_off",
-           "unasked_end": "write_off"}
+ANSWERS = {
+    "delivered": "deliver",
+    "turned_back": "turn_back",
+    "written_off": "write_off",
+    "unasked_end": "write_off",
+}
 
 
 class Parties(NamedTuple):
@@ -47,8 +51,19 @@
 
 
 class Core:
-    def __init__(self, scheduler, names, bounds, pace, make_rules, parties, telling, kept=None,
-                 reducing=None, sharing=None):
+    def __init__(
+        self,
+        scheduler,
+        names,
+        bounds,
+        pace,
+        make_rules,
+        parties,
+        telling,
+        kept=None,
+        reducing=None,
+        sharing=None,
+    ):
         self.scheduler, self.pace, self.make_rules = scheduler, pace, make_rules
         self.names, self.settings = names, names.settings
         self.link, self.ledger, self.gateways, self.reporter = parties
@@ -74,11 +89,15 @@
     def beliefs(self):
         """How many submissions are open, owed and running, and how old the gauges are."""
         subs = self.open.values()
-        return {"open": len(subs), "owed": self.owed(),
-                "running": sum(sub.run not in UNSENT for sub in subs),
-                "in_doubt": sum(sub.run == DOUBTED for sub in subs),
-                "at_calls": self.at_calls(),
-                "gauges_age_s": self.scheduler.clock() - self.runs.gauged_at, "good": int(self.good)}
+        return {
+            "open": len(subs),
+            "owed": self.owed(),
+            "running": sum(sub.run not in UNSENT for sub in subs),
+            "in_doubt": sum(sub.run == DOUBTED for sub in subs),
+            "at_calls": self.at_calls(),
+            "gauges_age_s": self.scheduler.clock() - self.runs.gauged_at,
+            "good": int(self.good),
+        }
 
     # ---- the loop
 
@@ -249,10 +268,23 @@
         left = None if s.wait is None or not self.names.passes_wait else max(0.0, s.wait - waited)
         if self.reducing is not None:
             self.reducing.signals.arrived(now, waited)
-        self.events.append(it.Arrived(
-            id=number, workload=workload, tenant=self.names.tenants.get(s.tenant), waited=waited, rank=s.rank,
-            retry=s.retry, subject=s.subject, caller=s.caller, memory=s.memory, left=left,
-            repeats=sub.repeats, cost_hint=s.hint, room_in=room_in))
+        self.events.append(
+            it.Arrived(
+                id=number,
+                workload=workload,
+                tenant=self.names.tenants.get(s.tenant),
+                waited=waited,
+                rank=s.rank,
+                retry=s.retry,
+                subject=s.subject,
+                caller=s.caller,
+                memory=s.memory,
+                left=left,
+                repeats=sub.repeats,
+                cost_hint=s.hint,
+                room_in=room_in,
+            )
+        )
 
     def on_withdrawal(self, now, m):
         self.gone(m.connection, m.stream)
@@ -318,8 +350,15 @@
                 self.reducing.signals.turned_back(self.scheduler.clock())
             getattr(sub.connection, ANSWERS[kind])(sub.stream, self.load, *what)
             if self.trace is not None:
-                self.trace("answered", {"call": sub.call, "workload": sub.workload, "kind": kind,
-                                        "after": self.scheduler.clock() - sub.since})
+                self.trace(
+                    "answered",
+                    {
+                        "call": sub.call,
+                        "workload": sub.workload,
+                        "kind": kind,
+                        "after": self.scheduler.clock() - sub.since,
+                    },
+                )
             self.forget_caller(sub)
 
     def forget_caller(self, sub):
@@ -373,21 +412,39 @@
         """What is done with each message, and with each action, by its type."""
         runs, repeating = self.runs, self.repeating
         takes = {
-            msg.LinkUp: self.on_link_up, msg.LinkDown: runs.on_link_down,
+            msg.LinkUp: self.on_link_up,
+            msg.LinkDown: runs.on_link_down,
             msg.NoticesMissed: runs.on_notices_missed,
-            msg.Doubt: runs.on_doubt, msg.Arrival: self.on_arrival, msg.Withdrawal: self.on_withdrawal,
-            msg.ConnectionEnded: self.on_connection_ended, msg.Check: self.on_check,
-            msg.CallOver: runs.on_call_over, msg.Told: self.on_told, msg.Leaving: self.on_leaving,
+            msg.Doubt: runs.on_doubt,
+            msg.Arrival: self.on_arrival,
+            msg.Withdrawal: self.on_withdrawal,
+            msg.ConnectionEnded: self.on_connection_ended,
+            msg.Check: self.on_check,
+            msg.CallOver: runs.on_call_over,
+            msg.Told: self.on_told,
+            msg.Leaving: self.on_leaving,
             msg.Stopping: self.on_stopping,
-            msg.DiskNews: repeating.on_disk_news, lines.RunOver: runs.on_run_over,
-            lines.CallWanted: runs.on_call_wanted, lines.Gauged: runs.on_gauged,
-            lines.Diagnosed: self.on_diagnosed, lines.NotCarriedOut: runs.on_not_carried_out,
+            msg.DiskNews: repeating.on_disk_news,
+            lines.RunOver: runs.on_run_over,
+            lines.CallWanted: runs.on_call_wanted,
+            lines.Gauged: runs.on_gauged,
+            lines.Diagnosed: self.on_diagnosed,
+            lines.NotCarriedOut: runs.on_not_carried_out,
         }
         does = {
-            it.Start: runs.do_start, it.Halt: runs.do_halt, it.TurnBack: self.do_turn_back,
-            it.WriteOff: self.do_write_off, it.Call: runs.do_call, it.GoWithout: runs.do_go_without,
-            it.Remember: repeating.do_remember, it.Forget: repeating.do_forget,
-            it.AnswerFrom: repeating.do_answer_from, it.Health: self.do_health, it.Say: self.do_say,
-            it.CloseIdle: self.do_close_idle, it.Wake: self.do_wake, it.Note: self.do_note,
+            it.Start: runs.do_start,
+            it.Halt: runs.do_halt,
+            it.TurnBack: self.do_turn_back,
+            it.WriteOff: self.do_write_off,
+            it.Call: runs.do_call,
+            it.GoWithout: runs.do_go_without,
+            it.Remember: repeating.do_remember,
+            it.Forget: repeating.do_forget,
+            it.AnswerFrom: repeating.do_answer_from,
+            it.Health: self.do_health,
+            it.Say: self.do_say,
+            it.CloseIdle: self.do_close_idle,
+            it.Wake: self.do_wake,
+            it.Note: self.do_note,
         }
         return takes, does
--- a/valeturn/routing/gateways.py
+++ b/valeturn/routing/gateways.py
@@ -91,8 +91,11 @@
         if isinstance(message, frames.HealthAsked):
             self.turned_away += 1
             self.stream.write(frames.health(message.stream, False))
-        elif isinstance(message, frames.Submitted) and self.is_new(message.stream) and (
-                not self.gateways.unknown(message)):
+        elif (
+            isinstance(message, frames.Submitted)
+            and self.is_new(message.stream)
+            and (not self.gateways.unknown(message))
+        ):
             self.turned_away += 1
             self.gateways.count("in.while_closing")
             self.stream.write(frames.turned_back(message.stream))
@@ -269,8 +272,11 @@
                 connection.refuse_connection("waiting")
             elif connection.can_end(now):
                 connection.close(connection.linger)
-            elif not connection.open and self.idle_timeout and (
-                    now - connection.idle_since > self.idle_timeout):
+            elif (
+                not connection.open
+                and self.idle_timeout
+                and (now - connection.idle_since > self.idle_timeout)
+            ):
                 connection.ask_to_close()
         short = len(self.connections) - int((1 - SPARE) * self.bounds.connections)
         if short > 0:
@@ -281,8 +287,11 @@
 
     def least_used(self, now):
         """Those that can be done without, first those that never said a thing, then by how long unused."""
-        free = [c for c in self.connections if not c.open and not c.closing and (
-            now - c.idle_since > (UNUSED if c.spoke else YOUNG))]
+        free = [
+            c
+            for c in self.connections
+            if not c.open and not c.closing and (now - c.idle_since > (UNUSED if c.spoke else YOUNG))
+        ]
         return sorted(free, key=lambda c: (c.spoke, c.idle_since))
 
     def evict(self):
--- a/valeturn/routing/ledger.py
+++ b/valeturn/routing/ledger.py
@@ -42,7 +42,8 @@
             self.scheduler.spawn(self.put, over, name="bound")
             return
         self.out[number] = self.scheduler.spawn(
-            self._run, number, attempt, reference, wait, body, name="call")
+            self._run, number, attempt, reference, wait, body, name="call"
+        )
 
     def give_up(self, number):
         """The task's end closes the connection, which tells the ledger; nothing more is reported of it."""
--- a/valeturn/routing/repeating.py
+++ b/valeturn/routing/repeating.py
@@ -19,8 +19,10 @@
     def __init__(self, core, most, kept=None):
         self.core, self.kept = core, kept
         # A repeat can be read as late as it is due, and what is due is at most a cut-off old.
-        longest = max((w.cut_off for w in core.settings.workloads if w.effect is not it.Effect.UNREPEATABLE),
-                      default=0.0)
+        longest = max(
+            (w.cut_off for w in core.settings.workloads if w.effect is not it.Effect.UNREPEATABLE),
+            default=0.0,
+        )
         unread = max(UNREAD, longest + core.settings.answer_slack)
         self.table, self.batch, self.joiners = Repeats(most, unread), {}, {}
 
@@ -44,7 +46,8 @@
             return False
         fingerprint, first = self.fingerprint(sub), self.core.open.get(self.batch.get(sub.key))
         return self.table.reused(sub.key, now - waited, fingerprint) or (
-            first is not None and self.fingerprint(first) != fingerprint)
+            first is not None and self.fingerprint(first) != fingerprint
+        )
 
     def newcomer(self, now, sub, waited):
         """(the id that it repeats, or None; seconds until a repeat of it could be told apart, 0 where now)"""
--- a/valeturn/routing/runs.py
+++ b/valeturn/routing/runs.py
@@ -16,8 +16,12 @@
 # end sooner, and what is told to stop when it does run is lost.
 DOUBT, DOUBT_LEAST = 3.0, 0.1
 
-ENDS = {lines.End.DONE: it.Outcome.DONE, lines.End.FAILED: it.Outcome.ERROR,
-        lines.End.STOPPED: it.Outcome.CANCELLED, lines.End.NOTHING: it.Outcome.MOOT}
+ENDS = {
+    lines.End.DONE: it.Outcome.DONE,
+    lines.End.FAILED: it.Outcome.ERROR,
+    lines.End.STOPPED: it.Outcome.CANCELLED,
+    lines.End.NOTHING: it.Outcome.MOOT,
+}
 
 
 class Runs:
@@ -179,8 +183,10 @@
         must not meet the run's next call: going on without this one names its notice and can't."""
         instead = lines.go_without(sub.call, sub.notice[0]) if sub.w.poorer_share > 0 else None
         sent = self.core.link.send(line)
-        sub.reply, sub.notice = Reply(
-            self.mark, self.core.scheduler.clock(), line, instead, sent, self.links), None
+        sub.reply, sub.notice = (
+            Reply(self.mark, self.core.scheduler.clock(), line, instead, sent, self.links),
+            None,
+        )
         sub.attempt += 1
 
     def on_not_carried_out(self, now, m):
--- a/valeturn/rules.py
+++ b/valeturn/rules.py
@@ -16,8 +16,22 @@
 # States of a submission. SPENT: answered or its caller gone, but still on the cores or at a call.
 HELD, RUNNING, AT_CALL, CALLING, PAUSED, JOINED, SPENT, OVER = range(8)
 # Inputs.
-(START, ENDED, STOPPED, CALLS, CALL_OUT, SKIP, CALL_DONE, CALL_UNRUN, CALL_MAYBE, GONE, GIVE_UP, HALT,
- JOIN, UNBEGUN) = range(14)
+(
+    START,
+    ENDED,
+    STOPPED,
+    CALLS,
+    CALL_OUT,
+    SKIP,
+    CALL_DONE,
+    CALL_UNRUN,
+    CALL_MAYBE,
+    GONE,
+    GIVE_UP,
+    HALT,
+    JOIN,
+    UNBEGUN,
+) = range(14)
 
 # (state, input) -> (next state, effect). A pair that is missing is harmless: an event of a submission that is
 # over, or an input that its state cannot meet; it changes nothing.
@@ -55,9 +69,14 @@
 }
 ON_CORES = (RUNNING, SPENT)
 CALL_INPUT = {
-    Outcome.DONE: CALL_DONE, Outcome.REFUSED: CALL_UNRUN, Outcome.UNREACHED: CALL_UNRUN,
-    Outcome.MOOT: CALL_UNRUN, Outcome.ERROR: CALL_MAYBE, Outcome.TIMED_OUT: CALL_MAYBE,
-    Outcome.RESET: CALL_MAYBE, Outcome.CANCELLED: CALL_MAYBE,
+    Outcome.DONE: CALL_DONE,
+    Outcome.REFUSED: CALL_UNRUN,
+    Outcome.UNREACHED: CALL_UNRUN,
+    Outcome.MOOT: CALL_UNRUN,
+    Outcome.ERROR: CALL_MAYBE,
+    Outcome.TIMED_OUT: CALL_MAYBE,
+    Outcome.RESET: CALL_MAYBE,
+    Outcome.CANCELLED: CALL_MAYBE,
 }
 
 SWEEP = 0.1  # s between sweeps: under half of the shortest run seen; each costs CPU on every server
@@ -178,19 +197,43 @@
         self.seq, due = self.seq + 1, max(self.now, self.now + left)
         goal = min(w.latency_goal + w.goal_stretch * cost, w.cut_off)
         sub = SimpleNamespace(
-            id=e.id, workload=e.workload, tenant=e.tenant, memory=e.memory, repeats=e.repeats, seq=self.seq,
-            told=e.left is not None, retry=e.retry, hint=hint, cost=cost, progress=0.0,  # work, and done
-            reached=self.now - e.waited, due=due, goal_by=min(self.now - e.waited - age + goal, due),
-            state=HELD, ran=False, owed=True, spare=False, since=self.now, room_in=e.room_in, standing=e.rank,
-            tries=0, called=0.0, called_at=0.0, reserved=0.0)  # its calls: tries, time in all, the one out
+            id=e.id,
+            workload=e.workload,
+            tenant=e.tenant,
+            memory=e.memory,
+            repeats=e.repeats,
+            seq=self.seq,
+            told=e.left is not None,
+            retry=e.retry,
+            hint=hint,
+            cost=cost,
+            progress=0.0,  # work, and done
+            reached=self.now - e.waited,
+            due=due,
+            goal_by=min(self.now - e.waited - age + goal, due),
+            state=HELD,
+            ran=False,
+            owed=True,
+            spare=False,
+            since=self.now,
+            room_in=e.room_in,
+            standing=e.rank,
+            tries=0,
+            called=0.0,
+            called_at=0.0,
+            reserved=0.0,
+        )  # its calls: tries, time in all, the one out
         self.door.add(self.now, 0, 1, 0, e.waited)
         self.live[sub.id] = sub
         if e.tenant is not None and not e.retry:
             self.sent.add(self.now, e.tenant, 1)
         if e.repeats is not None and (w.effect is not Effect.UNREPEATABLE):
             self.step(sub, JOIN)
-        elif self.late_for_drain(sub) or self.given_up(sub, e.rank) or (
-                min(due, self.stop_at or due) < self.now + self.margin):  # it may not be seen again in time
+        elif (
+            self.late_for_drain(sub)
+            or self.given_up(sub, e.rank)
+            or (min(due, self.stop_at or due) < self.now + self.margin)
+        ):  # it may not be seen again in time
             self.step(sub, GIVE_UP)
         elif w.effect is Effect.DEDUPLICATED or (w.effect is Effect.IDEMPOTENT and self.s.fresh_for > 0):
             self.remember(sub, w)
@@ -245,18 +288,32 @@
             slack = 0.0 if self.stop_at else 0.5 * self.s.answer_slack
             if sub.owed and self.now + self.margin >= last + slack:
                 self.step(sub, GIVE_UP)
-            elif sub.state == RUNNING and self.now > sub.goal_by and self.pressed and self.halts and (
-                    not self.s.workloads[sub.workload].late_share):
+            elif (
+                sub.state == RUNNING
+                and self.now > sub.goal_by
+                and self.pressed
+                and self.halts
+                and (not self.s.workloads[sub.workload].late_share)
+            ):
                 self.step(sub, GIVE_UP)
         self.limit = max(self.s.cores, min(self.limit, self.crowd()))
         self.say_level()
         self.say_health()
         self.say_idle()
 
-    FOR_SERVER = {it.Arrived: on_arrived, it.Leave: on_leave, it.Woken: on_woken, it.Level: on_level,
-                  it.CallsShare: on_calls_share}
-    FOR_ONE = {it.Ended: on_ended, it.Gone: on_gone, it.CallEnded: on_call_ended,
-               it.AtCall: lambda self, sub, e: self.step(sub, CALLS)}
+    FOR_SERVER = {
+        it.Arrived: on_arrived,
+        it.Leave: on_leave,
+        it.Woken: on_woken,
+        it.Level: on_level,
+        it.CallsShare: on_calls_share,
+    }
+    FOR_ONE = {
+        it.Ended: on_ended,
+        it.Gone: on_gone,
+        it.CallEnded: on_call_ended,
+        it.AtCall: lambda self, sub, e: self.step(sub, CALLS),
+    }
 
     # ---- effects
 
@@ -385,7 +442,7 @@
     def expected_cost(self, workload, hint):
         """A hint counts for as much as it has told of run times: by the slope of the logs, about the mean of
         the workload. Without a hint that mean stands alone; before any run all are equal."""
-        n, x, y, xx, xy = self.hints.read(self.now)[5 * workload:5 * workload + 5]
+        n, x, y, xx, xy = self.hints.read(self.now)[5 * workload : 5 * workload + 5]
         # The prior of a half is worth four runs: a hint may err as widely as sizes spread, till told better.
         slope = (xy - x * y / n + 2.0) / (xx - x * x / n + 4.0) if n > 1 else 0.5
         slope = min(1.0, max(0.0, slope))
@@ -429,8 +486,8 @@
             self.hints.add(self.now, 5 * sub.workload, 1, x, y, x * x, x * y)
         if self.on_cores() <= self.s.cores:
             self.calm.add(self.now, 2 * sub.workload, cost, took)
-        cost, took = self.runs.read(self.now)[4 * sub.workload:4 * sub.workload + 2]
-        calm_cost, calm_took = self.calm.read(self.now)[2 * sub.workload:2 * sub.workload + 2]
+        cost, took = self.runs.read(self.now)[4 * sub.workload : 4 * sub.workload + 2]
+        calm_cost, calm_took = self.calm.read(self.now)[2 * sub.workload : 2 * sub.workload + 2]
         slow = took * calm_cost > SLOW * calm_took * cost
         if slow and self.limit > self.s.cores and self.now - self.cut_at > 1.0:
             self.limit, self.cut_at = max(self.s.cores, self.limit * CUT), self.now
@@ -471,8 +528,11 @@
         return len(self.keys) * self.s.key_memory + live
 
     def remember(self, sub, w):
-        lasting = w.window - (self.now - sub.reached) if w.effect is Effect.DEDUPLICATED else (
-            self.s.fresh_for + max(0.0, sub.due - self.now))
+        lasting = (
+            w.window - (self.now - sub.reached)
+            if w.effect is Effect.DEDUPLICATED
+            else (self.s.fresh_for + max(0.0, sub.due - self.now))
+        )
         room = not sub.room_in and self.memory() + self.s.key_memory <= MEMORY_RUN * self.s.memory
         if room and lasting > 0:
             lasting += 2 * self.s.tick
@@ -501,8 +561,9 @@
         long it waits stays as a spare, to start after all others, while it could make its goal alone."""
         speed, kept, order, runs = self.pace, [], self.order(), self.runs.read(self.now)
         rate = speed * max(self.limit, self.s.cores)
-        ahead = sum(max(0.1 * sub.cost, self.left_of(sub))
-                    for sub in self.live.values() if sub.state in ON_CORES)
+        ahead = sum(
+            max(0.1 * sub.cost, self.left_of(sub)) for sub in self.live.values() if sub.state in ON_CORES
+        )
         start_ahead, idle, spares = ahead, self.on_cores() == 0, SPARES * self.s.cores
         foresee = self.pressed or self.local_trouble()
         for sub in order:
@@ -511,7 +572,7 @@
                 continue
             kept.append(sub)
             ahead, sub.spare, sub.rank = ahead + sub.cost, False, (self.value(sub), -sub.cost)
-            time, count = runs[4 * sub.workload + 2:4 * sub.workload + 4]
+            time, count = runs[4 * sub.workload + 2 : 4 * sub.workload + 4]
             calls = time / count if count > 0.5 and not self.can_skip(sub) else 0.0
             while True:
                 finish = max(ahead / rate, (ahead - start_ahead - sub.cost) / rate + sub.cost / speed) + calls
@@ -568,8 +629,9 @@
         self.credit, self.credit_at = min(CALLS_SAVED * share * window, self.credit + more), self.now
         need, takes = self.least_wait() + self.s.call_linger, self.call_time()
         # What calls that are out have set aside beyond what they take comes back soon.
-        soon = self.credit + sum(max(0.0, sub.reserved - takes) for sub in self.live.values()
-                                 if sub.state == CALLING)
+        soon = self.credit + sum(
+            max(0.0, sub.reserved - takes) for sub in self.live.values() if sub.state == CALLING
+        )
         # Those that cannot go without come first, as a slow dependency leaves credit for few. Of the others
         # who would stand there longer than a call may take goes without at once: its cores idle meanwhile.
         standing = [sub for sub in self.live.values() if sub.state == AT_CALL]
--- a/valeturn/transport/listener.py
+++ b/valeturn/transport/listener.py
@@ -109,8 +109,9 @@
         of those that come now are dropped; tried again a second later they are refused."""
         code = array.array("B", DROP_ALL)
         try:
-            self.sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER,
-                                 struct.pack("HP", 1, code.buffer_info()[0]))
+            self.sock.setsockopt(
+                socket.SOL_SOCKET, SO_ATTACH_FILTER, struct.pack("HP", 1, code.buffer_info()[0])
+            )
         except OSError:  # not to be had here: some microseconds stay in which one can be lost
             pass
 
--- a/valeturn/transport/streams.py
+++ b/valeturn/transport/streams.py
@@ -103,7 +103,7 @@
     def _write_rest(self):
         while self.unsent and self.trouble is None:
             if self.scheduler.wait_fd(self.sock.fileno(), WRITE) and self.trouble is None:
-                del self.unsent[:self._send(self.unsent)]
+                del self.unsent[: self._send(self.unsent)]
         self.writer = None
 
     def flush(self, until):
