--- /dev/null
+++ b/tests/digests/degradation.py
@@ -0,0 +1,164 @@
+"""Feeds the levels of reduced service: loads that come and go, pins, cold starts, other configurations.
+
+The signals are summed from generated calls and submissions, the conditions are read from texts.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+
+from valeturn.levels.conditions import Kind
+from valeturn.levels.decision import CALM, IN, PINNED, TRIAL, Decision, Level
+from valeturn.levels.signals import Signals
+from valeturn.options.kinds import Wants
+
+STATES = (CALM, IN, TRIAL, PINNED)
+STEPS = 4500
+SWEEP = 0.25
+ENTERS = (
+    "calls.latency > 2 x usual for 1 s or cores.busy > 70 % for 2 s",
+    "calls.latency > 400 ms for 1 s and turned_back < 90 % or calls.failing > 30 %",
+    "unread.wait > 0.5 s for 2 s or turned_back > 20 % for 1 s or memory > 80 %",
+    "calls.latency > 1.5 s or cores.busy > 97 % for 1 s",
+)
+LEAVES = (
+    "calls.latency < 1.5 x usual for 2 s and cores.busy < 60 %",
+    "calls.latency < 300 ms for 1 s and calls.failing < 10 %",
+    "unread.wait < 200 ms for 1 s and turned_back < 5 % for 1 s and memory < 70 %",
+    "calls.latency < 1 s and cores.busy < 90 % for 1 s",
+)
+UNREADABLE = (
+    "",
+    "calls.latency >",
+    "nothing > 1 s",
+    "calls.latency > 5",
+    "calls.latency > 5 %",
+    "memory > 5 h",
+    "memory > 2 x usual",
+    "calls.latency > 0 x usual",
+    "memory > 100 %",
+    "memory < 0 %",
+    "calls.latency > 2 h",
+    "calls.latency > 1 s for 11 min",
+    "calls.latency > 1 s for 3 %",
+    "memory > 5 /s",
+    "memory > 5 xyz",
+    "calls.latency > 1 s and",
+)
+
+
+def conditions(texts: tuple[str, ...], record: Callable[[object], None]) -> list[object]:
+    """Read texts and record how each is understood and told."""
+    read = []
+    for text in texts:
+        condition = Kind().read(text)
+        record(str(condition))
+        record([[list(one) for one in row] for row in condition.rows])
+        record([list(one) for one in condition.ones()])
+        read.append(condition)
+    return read
+
+
+def faults(record: Callable[[object], None]) -> None:
+    """Record how unreadable conditions are refused."""
+    for text in UNREADABLE:
+        try:
+            record([list(row[0]) for row in Kind().read(text).rows])
+        except Wants as error:
+            record(list(error.args))
+
+
+class Load:
+    """What the server meets: a phase of some seconds after the other."""
+
+    def __init__(self, chance: random.Random) -> None:
+        self.chance = chance
+        self.until = 0.0
+        self.change(0.0)
+
+    def change(self, now: float) -> None:
+        """Begin another phase, calm or troubled."""
+        chance = self.chance
+        bad = chance.random() < 0.5
+        self.until = now + chance.choice([1.0, 3.0, 10.0, 30.0])
+        self.count = chance.choice([0, 1, 5, 5])
+        self.latency = chance.choice([0.3, 0.6, 2.0]) if bad else 0.1
+        self.failing = chance.choice([0.0, 0.0, 0.5]) if bad else 0.01
+        self.wait = chance.choice([0.01, 0.9]) if bad else 0.02
+        self.back = chance.choice([0.0, 0.1, 0.4]) if bad else 0.0
+        self.busy = chance.choice([0.65, 0.8, 0.99]) if bad else 0.4
+        self.memory = chance.choice([0.5, 0.75, 0.85]) if bad else 0.3
+        self.gauges = chance.random() < 0.9
+
+    def feed(self, now: float, signals: Signals) -> None:
+        """Feed one sweep's worth to the signals."""
+        chance = self.chance
+        for _ in range(self.count):
+            signals.call_ended(now, self.latency * chance.uniform(0.8, 1.2), chance.random() < self.failing)
+            signals.arrived(now, self.wait * chance.uniform(0.8, 1.2))
+            if chance.random() < self.back:
+                signals.turned_back(now)
+        if self.gauges and chance.random() < 0.5:
+            signals.gauged(now, self.busy, chance.choice([self.memory, self.memory, None]))
+
+
+def generated_levels(chance: random.Random, enters: list, leaves: list) -> list[Level]:
+    """Return some of the levels, each with its own least stay."""
+    levels = []
+    for position, (enter, leave) in enumerate(zip(enters, leaves, strict=True)):
+        if chance.random() < 0.85:
+            stay = chance.choice([2.0, 3.0, 5.0])
+            levels.append(Level(f"level-{position}", position + 1, enter, leave, stay, None))
+    chance.shuffle(levels)
+    return levels
+
+
+def plain(changes: list | None) -> list[object] | None:
+    """Return changes by position."""
+    if changes is None:
+        return None
+    return [list(one) for one in changes]
+
+
+def by_hand(chance: random.Random, decision: Decision, now: float) -> list[object] | None:
+    """Pin a level, which may be unknown, or free what is pinned, and return the changes."""
+    if chance.random() < 0.7:
+        name = f"level-{chance.randrange(5)}"
+        return plain(decision.pin(now, name, chance.choice([1.0, 5.0, 20.0])))
+    return plain(decision.free(now))
+
+
+def play(seed: int, record: Callable[[object], None]) -> None:
+    """Play some thousand sweeps and record each change."""
+    chance = random.Random(seed)
+    faults(record)
+    enters = conditions(ENTERS, record)
+    leaves = conditions(LEAVES, record)
+    now = 0.0
+    load = Load(chance)
+    signals = Signals(now)
+    decision = Decision(generated_levels(chance, enters, leaves), now)
+    for step in range(STEPS):
+        now += SWEEP
+        on_trial = decision.state == TRIAL
+        if now >= load.until or on_trial and chance.random() < 0.2:
+            load.change(now)
+        load.feed(now, signals)
+        read = signals.read(now)
+        if decision.at is None:
+            signals.learn(now, read)
+        else:
+            signals.rest(now)
+        kind = chance.random()
+        if kind < 0.008:
+            record(by_hand(chance, decision, now))
+        elif kind < 0.012 or kind < 0.04 and decision.state in (TRIAL, PINNED):
+            decision.put(generated_levels(chance, enters, leaves))
+        cold = chance.random() < 0.1
+        record(plain(decision.step(now, read, signals.usual, cold)))
+        record([STATES.index(decision.state), decision.at, decision.spared(now)])
+        if step % 20 == 0:
+            record(list(read.values()))
+            record(list(signals.usual.values()))
+            record(list(decision.factor.values()))
--- /dev/null
+++ b/tests/digests/drain_schedule.py
@@ -0,0 +1,290 @@
+"""Feeds the owner's order of turns: requests, reports, losses, strain and new owners.
+
+The facts that it proposes are applied to the log's facts, and the servers do what they are told, mostly.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+
+from valeturn.fleet.owner import Facts
+from valeturn.turns.order import (
+    BACK,
+    BEGAN,
+    CHOSEN,
+    DRAINING,
+    EMPTIED,
+    EMPTY,
+    GO,
+    GONE,
+    LATE,
+    NEEDED,
+    STATES,
+    TAKEN_BACK,
+    UNTAKEN,
+    WAITING,
+    WARM,
+    Limits,
+    Order,
+    Row,
+    View,
+    read_row,
+    seen,
+)
+
+INPUTS = (CHOSEN, BEGAN, UNTAKEN, EMPTIED, GO, NEEDED, GONE, BACK, WARM, LATE, TAKEN_BACK)
+STEPS = 2400
+LEASE = 2.0
+LASTS = 3.0
+ZONES = ("east", "west", "-")
+LIMITS = (
+    Limits(2, 0.5, True, 0.2, 5, 20.0, False),
+    Limits(3, 0.4, False, 0.1, 2, 10.0, True),
+    Limits(1, 0.1, False, 0.3, 5, 15.0, True),
+    Limits(4, 0.9, True, 0.0, 0, 5.0, False),
+)
+
+
+class Server:
+    """One server: what it does about its turn, and its last report."""
+
+    def __init__(self, chance: random.Random, number: int) -> None:
+        self.chance = chance
+        self.name = f"s{number}"
+        self.zone = ZONES[number % len(ZONES)]
+        self.cores = chance.choice([2.0, 4.0])
+        self.life = 1
+        self.alive = True
+        self.doubted = False
+        self.strained = False
+        self.listed = True
+        self.doing = WAITING
+        self.fence = 0
+        self.warm = 1.0
+        self.answers = 50
+        self.busy = 0.2
+        self.silent_until = 0.0
+        self.deaf_until = 0.0
+        self.comes_back_at = 0.0
+        self.report: View | None = None
+
+    def ends(self, now: float, most: float) -> None:
+        """End this life; another begins after a while."""
+        self.alive = False
+        self.comes_back_at = now + self.chance.uniform(0.0, most)
+
+    def begins(self) -> None:
+        """Begin another life, cold."""
+        self.alive = True
+        self.life += 1
+        self.doing = WAITING
+        self.fence = 0
+        self.warm = 0.3
+        self.answers = 0
+
+    def goes_on(self, now: float) -> None:
+        """Do what time does: come back, warm up, become empty."""
+        chance = self.chance
+        if not self.alive and now >= self.comes_back_at:
+            self.begins()
+        self.warm = min(1.0, self.warm + 0.05)
+        self.answers += chance.choice([0, 0, 1])
+        if self.doing == DRAINING and chance.random() < 0.1:
+            self.doing = EMPTY
+
+    def view(self, now: float) -> View:
+        """Return what it reports now."""
+        return View(
+            self.name,
+            self.zone,
+            self.life,
+            True,
+            False,
+            self.cores,
+            self.busy,
+            self.warm,
+            self.strained,
+            self.answers,
+            self.doing,
+            self.fence,
+            now,
+        )
+
+    def told(self, now: float, verb: str, fence: int) -> None:
+        """Do as the owner says, mostly."""
+        if now < self.deaf_until or self.chance.random() < 0.15:
+            return
+        if verb == "out" and self.doing == WAITING:
+            self.doing = DRAINING
+            self.fence = fence
+        elif verb == "work":
+            self.ends(now, 40.0)
+        elif verb == "back":
+            self.ends(now, 10.0)
+
+
+class World:
+    """The servers, the log's facts and the owner that looks at them."""
+
+    def __init__(self, chance: random.Random, record: Callable[[object], None]) -> None:
+        self.chance = chance
+        self.record = record
+        self.now = 0.0
+        self.number = 0
+        self.servers = [Server(chance, number) for number in range(7)]
+        self.facts = Facts()
+        self.limits = chance.choice(LIMITS)
+        self.order = Order(self.limits, LEASE, LASTS, self.now)
+
+    def rows(self) -> list[Row]:
+        """Return the requests as the log has them."""
+        return [read_row(row) for row in self.facts.turns]
+
+    def apply(self, fact: tuple) -> None:
+        """Commit one fact."""
+        self.facts = self.facts.apply(fact)
+
+    def request(self) -> None:
+        """Let somebody ask for a turn, at times for a server that nobody knows."""
+        chance = self.chance
+        name = chance.choice([*(server.name for server in self.servers), "ghost"])
+        if any(row.server == name for row in self.rows()):
+            return
+        self.number += 1
+        work = chance.choice([5.0, 30.0])
+        row = Row(name, self.number, "reboot", chance.random() < 0.3, work)
+        self.apply(("turn", row.packed()))
+
+    def take_back(self) -> None:
+        """Let an operator want one turn no more."""
+        rows = self.rows()
+        if self.chance.random() < 0.5:
+            rows = [row for row in rows if row.state != WAITING]
+        if rows:
+            row = self.chance.choice(rows)
+            self.apply(("turn", row._replace(unwanted=True).packed()))
+
+    def serve_again(self) -> None:
+        """Let one that drains or is empty serve again, as no server should, and hear nothing for a while."""
+        out = [server for server in self.servers if server.doing != WAITING]
+        if out:
+            server = self.chance.choice(out)
+            server.doing = WAITING
+            server.deaf_until = self.now + self.chance.uniform(0.0, 20.0)
+
+    def events(self) -> None:
+        """Let the world change by chance."""
+        chance = self.chance
+        server = chance.choice(self.servers)
+        kind = chance.random()
+        if kind < 0.12:
+            self.request()
+        elif kind < 0.14:
+            self.take_back()
+        elif kind < 0.15:
+            server.ends(self.now, 20.0)
+        elif kind < 0.16:
+            server.silent_until = self.now + chance.uniform(0.0, 20.0)
+        elif kind < 0.19:
+            server.strained = chance.random() < 0.15
+        elif kind < 0.23:
+            for one in self.servers:
+                one.busy = chance.choice([0.1, 0.2, 0.4, 0.6])
+        elif kind < 0.25:
+            server.doubted = chance.random() < 0.3
+        elif kind < 0.255:
+            self.apply(("hold", chance.random() < 0.3))
+        elif kind < 0.26:
+            server.listed = chance.random() < 0.7
+        elif kind < 0.263:
+            self.limits = chance.choice(LIMITS)
+            self.order = Order(self.limits, LEASE, LASTS, self.now)
+        elif kind < 0.27:
+            for one in self.servers:
+                one.silent_until = self.now + chance.uniform(0.0, 12.0)
+        elif kind < 0.30:
+            self.serve_again()
+        elif kind < 0.34:
+            server.deaf_until = self.now + chance.uniform(0.0, 20.0)
+
+    def reports(self) -> None:
+        """Let the servers report and be told."""
+        rows = self.rows()
+        for server in self.servers:
+            if not server.alive or self.now < server.silent_until or self.chance.random() < 0.2:
+                continue
+            server.report = server.view(self.now)
+            row = next((one for one in rows if one.server == server.name), None)
+            verb, fence = self.order.word(self.now, row, server.report)
+            self.record([verb, fence])
+            server.told(self.now, verb, fence)
+
+    def views(self) -> dict[str, View]:
+        """Return the servers as the owner has them; the membership may be behind a report or ahead of it."""
+        views = {}
+        for server in self.servers:
+            if not server.listed:
+                continue
+            alive = server.alive
+            life = server.life
+            if self.chance.random() < 0.03:
+                life = 0
+            views[server.name] = seen(server.name, server.report, server.zone, life, alive, server.doubted)
+        return views
+
+    def look(self) -> None:
+        """Let the owner look, and commit what it proposes."""
+        views = self.views()
+        facts = self.order.look(self.now, self.rows(), views, self.facts.held)
+        self.record([list(fact) for fact in facts])
+        self.record([[name, why] for name, why in self.order.reasons.items()])
+        for fact in facts:
+            self.apply(fact)
+
+    def figures(self) -> None:
+        """Record the log's rows and what the owner counts with."""
+        views = self.views()
+        rows = self.rows()
+        known = self.order.known(self.now, views)
+        out = self.order.out(rows, views)
+        self.record([list(row) for row in self.facts.turns])
+        self.record([[name, list(view)] for name, view in views.items()])
+        self.record([self.facts.fence, self.order.allowed(views), list(known), sorted(out)])
+        self.record([self.order.capacity(known, out), self.order.load(known)])
+
+
+def refused(state: int) -> bool:
+    """Return whether a row with this state is refused."""
+    said = Row("s0", 1, "reboot", False, 5.0, state).packed()
+    try:
+        read_row(said)
+    except ValueError:
+        return True
+    return False
+
+
+def pairs(order: Order, record: Callable[[object], None]) -> None:
+    """Record the step of every pair of state and input, those that change nothing too."""
+    for state in range(len(STATES)):
+        row = Row("s0", 1, "reboot", False, 5.0, state, 3, 2, 1)
+        for given in INPUTS:
+            record([list(fact) for fact in order.step(row, given, 4)])
+
+
+def play(seed: int, record: Callable[[object], None]) -> None:
+    """Play some thousand steps and record facts, reasons and words."""
+    chance = random.Random(seed)
+    world = World(chance, record)
+    for state in (-1, len(STATES)):
+        record(refused(state))
+    pairs(world.order, record)
+    for step in range(STEPS):
+        world.now += chance.uniform(0.3, 0.7)
+        world.events()
+        for server in world.servers:
+            server.goes_on(world.now)
+        world.reports()
+        world.look()
+        if step % 20 == 0:
+            world.figures()
--- /dev/null
+++ b/tests/digests/singleton_tasks.py
@@ -0,0 +1,117 @@
+"""Feeds the fleet's duties on one server: terms, grants, commands that end or overrun, another file."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+
+from valeturn.fleet.duties import Duties, Propose, Start, Stop, Told
+from valeturn.fleet.dutyoptions import DutyOptions
+
+EFFECTS = (Propose, Start, Stop, Told)
+STEPS = 5000
+NAMES = ("clean", "report", "share", "sync", "tidy")
+
+
+def generated_options(chance: random.Random, name: str) -> DutyOptions:
+    """Return one duty as an operator might have it."""
+    if name == "share":
+        return DutyOptions("share-calls", None, None, 60.0, 1.0, "clock", 50, 0.5)
+    every = chance.choice([None, 3.0, 10.0])
+    most = chance.choice([2.0, 3.0])
+    patience = chance.choice([0.5, 1.0])
+    return DutyOptions("run", f"do {name} {every}", every, most, patience, "number", None, 0.5)
+
+
+def generated_file(chance: random.Random) -> dict[str, DutyOptions]:
+    """Return the duties of another operator's file."""
+    names = [name for name in NAMES if chance.random() < 0.8]
+    return {name: generated_options(chance, name) for name in names}
+
+
+def plain(value: object) -> object:
+    """Return tuples as lists and mappings as the list of their values, at any depth."""
+    if isinstance(value, dict):
+        return [plain(one) for one in value.values()]
+    if isinstance(value, (list, tuple)):
+        return [plain(one) for one in value]
+    return value
+
+
+class Fleet:
+    """What stands around the duties: the owner's log and the commands that run."""
+
+    def __init__(self, chance: random.Random, record: Callable[[object], None]) -> None:
+        self.chance = chance
+        self.record = record
+        self.now = 0.0
+        self.fence = 0
+        self.terms = 1
+        self.term: int | None = None
+        self.duties = Duties("me", 4, self.now)
+        self.asked: list[str] = []
+        self.running: dict[str, int] = {}
+
+    def take(self, effects: list) -> None:
+        """Record effects and remember what was asked for and started."""
+        for effect in effects:
+            kind = EFFECTS.index(type(effect))
+            self.record([kind, plain(effect)])
+            if kind == 0 and effect.fact[0] == "grant":
+                self.asked.append(effect.fact[1])
+            elif kind == 1:
+                self.running[effect.name] = effect.fence
+
+    def grant(self) -> None:
+        """Commit a grant: one that was asked for, or one again, or one of an earlier term."""
+        name = self.chance.choice(NAMES)
+        if self.asked and self.chance.random() < 0.9:
+            name = self.asked.pop(0)
+        term = self.terms
+        if self.chance.random() < 0.1:
+            term -= 1
+        self.fence += 1
+        self.take(self.duties.granted(self.now, term, name, self.fence))
+
+    def end(self) -> None:
+        """Let a command end, well or not; at times one that never ran."""
+        name = self.chance.choice([*self.running, "nobody"])
+        self.running.pop(name, None)
+        code = self.chance.choice([0, 0, 1])
+        outcome = {"code": code, "why": f"code {code}", "tail": "" if code == 0 else "fault"}
+        self.take(self.duties.ended(self.now, name, outcome))
+
+    def other_term(self) -> None:
+        """Win, lose or change the lead."""
+        if self.term is not None and self.chance.random() < 0.5:
+            self.term = None
+            return
+        self.terms += self.chance.choice([1, 2])
+        self.term = self.terms
+        self.asked.clear()
+
+    def figures(self) -> None:
+        """Record what the duties show of themselves."""
+        for name, shown in self.duties.figures(self.now).items():
+            self.record([name, plain(shown)])
+
+
+def play(seed: int, record: Callable[[object], None]) -> None:
+    """Play some thousand steps and record each effect."""
+    chance = random.Random(seed)
+    fleet = Fleet(chance, record)
+    fleet.take(fleet.duties.put(fleet.now, generated_file(chance)))
+    for step in range(STEPS):
+        fleet.now += chance.uniform(0.0, 0.4)
+        kind = chance.random()
+        if kind < 0.015:
+            fleet.other_term()
+        elif kind < 0.03:
+            fleet.take(fleet.duties.put(fleet.now, generated_file(chance)))
+        elif kind < 0.2:
+            fleet.grant()
+        elif kind < 0.3:
+            fleet.end()
+        fleet.take(fleet.duties.tick(fleet.now, fleet.term))
+        if step % 20 == 0:
+            fleet.figures()
--- /dev/null
+++ b/tests/digests/vote_persistence.py
@@ -0,0 +1,86 @@
+"""Feeds what holds effects back until the vote is durable: effects in any order, slow and failing writes."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+
+from valeturn.fleet.keeping import Keeping
+from valeturn.fleet.owner import Facts, Kept, Persist, Send, Told
+
+EFFECTS = (Persist, Send, Told)
+STEPS = 5000
+
+
+class Helper:
+    """Stands for the thread that writes: remembers what it was asked for."""
+
+    def __init__(self, record: Callable[[object], None]) -> None:
+        self.record = record
+        self.asked = 0
+
+    def ask(self, kind: str, function: Callable[[bytes], None], *given: bytes) -> None:
+        """Take one write, which is over when the driver says so."""
+        self.asked += 1
+        self.record([kind, list(given)])
+
+
+class Folder:
+    """Stands for the folder of a voter."""
+
+    def write(self, data: bytes) -> None:
+        """Stand for the write, which the helper never calls here."""
+
+
+def encode(kept: Kept) -> bytes:
+    """Return what stands for the file."""
+    return f"{kept.term}".encode()
+
+
+def generated_effects(chance: random.Random, number: int) -> list[object]:
+    """Return up to five effects, with the vote that is to be kept anywhere between them."""
+    effects = []
+    for offset in range(chance.choice([0, 1, 1, 2, 3, 5])):
+        kind = chance.random()
+        if kind < 0.3:
+            effects.append(Persist(Kept(term=number + offset)))
+        elif kind < 0.8:
+            effects.append(Send("b", "vote", [number, offset]))
+        else:
+            effects.append(Told(number + offset, ("begin",), Facts(fence=number)))
+    return effects
+
+
+def plain(effect: object) -> list[object]:
+    """Return an effect by the position of its class and fields."""
+    kind = EFFECTS.index(type(effect))
+    if kind == 1:
+        return [kind, *effect]
+    index, fact, facts = effect
+    return [kind, index, list(fact), list(facts)]
+
+
+def play(seed: int, record: Callable[[object], None]) -> None:
+    """Play some thousand steps and record what may go out, and when."""
+    chance = random.Random(seed)
+    helper = Helper(record)
+    now = 0.0
+    keeping = Keeping(Folder(), helper, encode)
+    memory = Keeping(None, helper, encode)
+    for number in range(STEPS):
+        now += chance.uniform(0.0, 0.5)
+        effects = generated_effects(chance, 10 * number)
+        kind = chance.random()
+        if kind < 0.5:
+            record([plain(one) for one in keeping.carry(effects)])
+        elif kind < 0.55:
+            record([plain(one) for one in memory.carry(effects)])
+        elif kind < 0.6:
+            record([plain(one) for one in keeping.go_on()])
+        elif keeping.writing:
+            result = OSError(28, "no space") if chance.random() < 0.2 else None
+            record([plain(one) for one in keeping.written(now, result)])
+        wants = keeping.wants_retry(now)
+        record([wants, keeping.writing, len(keeping.waiting), helper.asked])
+        if wants and chance.random() < 0.7:
+            keeping.write(Kept(term=10 * number + 9))
--- /dev/null
+++ b/tests/digests/window_clock.py
@@ -0,0 +1,74 @@
+"""Feeds the store's own time: steps of the wall clock, suspends, restarts on one boot and reboots."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+
+from valeturn.store.clock import Clock, Moment, Stamp, resume, same_boot
+
+STEPS = 6000
+
+
+class Machine:
+    """The clocks of a machine that is suspended, set and rebooted."""
+
+    def __init__(self, chance: random.Random) -> None:
+        self.chance = chance
+        self.wall = 1_700_000_000.0
+        self.boot = 50.0
+        self.boot_id = "boot-0"
+        self.boots = 0
+
+    def read(self) -> Moment:
+        """Return what the clocks say."""
+        return Moment(self.wall, self.boot, self.boot_id)
+
+    def goes_on(self) -> None:
+        """Let time pass; the wall clock is set at times, and the boot clock read a little early."""
+        passed = self.chance.choice([0.0, 0.001, 0.5, 1.0, 60.0, 4000.0])
+        self.wall += passed
+        self.boot += passed
+        kind = self.chance.random()
+        if kind < 0.05:
+            self.wall += self.chance.uniform(-10_000.0, 10_000.0)
+        elif kind < 0.08:
+            self.boot -= self.chance.uniform(0.0, 100.0)
+
+    def reboot(self) -> None:
+        """Begin another boot, which some systems do not name."""
+        self.boots += 1
+        self.boot_id = self.chance.choice(["", f"boot-{self.boots}", f"boot-{self.boots}"])
+        self.boot = self.chance.uniform(0.0, 40.0)
+        self.wall += self.chance.choice([-5000.0, -1.0, 0.0, 30.0, 900.0])
+
+
+def plain(stamp: Stamp) -> list[object]:
+    """Return a stamp by position."""
+    at, moment = stamp
+    return [at, list(moment)]
+
+
+def play(seed: int, record: Callable[[object], None]) -> None:
+    """Play some thousand steps and record the time, the stamps and what is resumed from them."""
+    chance = random.Random(seed)
+    machine = Machine(chance)
+    record(resume(None, machine.read()))
+    clock = Clock(None, machine.read)
+    stamp = clock.stamp()
+    for _ in range(STEPS):
+        machine.goes_on()
+        record(clock.now())
+        kind = chance.random()
+        if kind < 0.2:
+            stamp = clock.stamp()
+            record(plain(stamp))
+        elif kind < 0.3:
+            if chance.random() < 0.5:
+                machine.reboot()
+            kept = None if chance.random() < 0.05 else stamp
+            moment = machine.read()
+            record(resume(kept, moment))
+            record(same_boot(stamp.moment, moment))
+            clock = Clock(kept, machine.read)
+            record([clock.start, clock.boot])
