--- a/tests/test_other_customers.py
+++ b/tests/admission/test_any_settings.py
@@ -12,15 +12,15 @@
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
-from test_program import CONFIG, ROOT, changed
+from program_support import CONFIG, ROOT, changed
 
-from valeturn import interface as it
-from valeturn.program import configuration
-from valeturn.program.server import Server
+from valeturn.admission import interface as it
+from valeturn.admission.controller import Rules
+from valeturn.admission.settings import Names
 from valeturn.protocol import executor as lines
 from valeturn.protocol import frames, http
-from valeturn.rules import Rules
-from valeturn.settings import Names
+from valeturn.server import configuration
+from valeturn.server.server import Server
 
 QUICK = hypothesis_settings(derandomize=True, max_examples=250, deadline=None, database=None)
 
--- a/tests/test_guards.py
+++ b/tests/admission/test_controller.py
@@ -1,8 +1,8 @@
 import pytest
 from helpers import Model, settings
 
-from valeturn import interface as it
-from valeturn.rules import OWN_ROOM, ROOM, Rules
+from valeturn.admission import interface as it
+from valeturn.admission.controller import OWN_ROOM, ROOM, Rules
 
 READ, BOOK, FILE = range(3)
 
--- a/tests/test_model.py
+++ b/tests/admission/test_controller_model.py
@@ -3,8 +3,8 @@
 import pytest
 from helpers import DEDUPLICATED, Model, settings
 
-from valeturn import interface as it
-from valeturn.rules import Rules
+from valeturn.admission import interface as it
+from valeturn.admission.controller import Rules
 
 CALL_ENDS = [one for one in it.Outcome if one is not it.Outcome.UNSTORED]  # that is a run's
 CASES = {
--- a/tests/test_control.py
+++ b/tests/control/test_control_socket.py
@@ -9,7 +9,7 @@
 import threading
 
 import pytest
-from test_program import command
+from program_support import command
 
 from valeturn.control import client, requests, server
 from valeturn.lab import restarts
--- a/tests/digests/admission.py
+++ b/tests/digests/admission.py
@@ -10,7 +10,8 @@
 import random
 from collections.abc import Callable
 
-from valeturn.interface import (
+from valeturn.admission.controller import Rules
+from valeturn.admission.interface import (
     AnswerFrom,
     Arrived,
     AtCall,
@@ -38,7 +39,6 @@
     Workload,
     WriteOff,
 )
-from valeturn.rules import Rules
 
 STEPS = 400  # of each case
 NUMBER_OF_CALLERS = 1100  # more than the rules remember
--- a/tests/digests/bootstrap.py
+++ b/tests/digests/bootstrap.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from valeturn.fleet.founding import Founding, readable
+from valeturn.cluster.bootstrap import Founding, readable
 
 STEPS = 4000
 SIZES = (3, 4, 5, 3, 4, 5, 1)
--- a/tests/digests/compaction.py
+++ b/tests/digests/compaction.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from valeturn.store.upkeep import (
+from valeturn.result_store.compaction_policy import (
     FAILED,
     HEALTH,
     MANY,
--- a/tests/digests/degradation.py
+++ b/tests/digests/degradation.py
@@ -8,10 +8,10 @@
 import random
 from collections.abc import Callable
 
-from valeturn.levels.conditions import Kind
-from valeturn.levels.decision import CALM, IN, PINNED, TRIAL, Decision, Level
-from valeturn.levels.signals import Signals
-from valeturn.options.kinds import Wants
+from valeturn.degradation.conditions import Kind
+from valeturn.degradation.controller import CALM, IN, PINNED, TRIAL, Decision, Level
+from valeturn.degradation.signals import Signals
+from valeturn.operator_config.value_types import Wants
 
 STATES = (CALM, IN, TRIAL, PINNED)
 STEPS = 4500
--- a/tests/digests/drain_schedule.py
+++ b/tests/digests/drain_schedule.py
@@ -8,8 +8,8 @@
 import random
 from collections.abc import Callable
 
-from valeturn.fleet.owner import Facts
-from valeturn.turns.order import (
+from valeturn.cluster.raft import Facts
+from valeturn.maintenance.drain_schedule import (
     BACK,
     BEGAN,
     CHOSEN,
--- a/tests/digests/entry_states.py
+++ b/tests/digests/entry_states.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from valeturn.store.entry import (
+from valeturn.result_store.entry_states import (
     ABSENT,
     DONE,
     ENDED,
--- a/tests/digests/local_drain.py
+++ b/tests/digests/local_drain.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from valeturn.turns.place import AT_WORK, DRAINS, EMPTY, GOES_BACK, LEAVES, SERVES, Place
+from valeturn.maintenance.local_drain import AT_WORK, DRAINS, EMPTY, GOES_BACK, LEAVES, SERVES, Place
 
 STATES = (SERVES, DRAINS, EMPTY, AT_WORK, GOES_BACK, LEAVES)
 ENDS = (AT_WORK, GOES_BACK, LEAVES)
--- a/tests/digests/membership.py
+++ b/tests/digests/membership.py
@@ -11,9 +11,9 @@
 import random
 from collections.abc import Callable
 
-from valeturn.fleet.bounds import MEMBERS, SYNCED
-from valeturn.fleet.membership import Membership
-from valeturn.transport.chance import Chance
+from valeturn.cluster.limits import MEMBERS, SYNCED
+from valeturn.cluster.membership import Membership
+from valeturn.transport.seeded_random import Chance
 
 PERIOD = 3.0  # s between probes: long, so that few messages go a step and members are forgotten in time
 STEP = 0.6  # s between two ticks of each member
--- a/tests/digests/quota.py
+++ b/tests/digests/quota.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Callable
 
-from valeturn.fleet.shares import LESS, MORE, STARTING, SURE, Grant, Holder, Splitter
+from valeturn.cluster.quota import LESS, MORE, STARTING, SURE, Grant, Holder, Splitter
 
 SOURCES = (STARTING, SURE, LESS, MORE)
 STEPS = 4000
--- a/tests/digests/singleton_tasks.py
+++ b/tests/digests/singleton_tasks.py
@@ -5,8 +5,8 @@
 import random
 from collections.abc import Callable
 
-from valeturn.fleet.duties import Duties, Propose, Start, Stop, Told
-from valeturn.fleet.dutyoptions import DutyOptions
+from valeturn.cluster.singleton_tasks import Duties, Propose, Start, Stop, Told
+from valeturn.cluster.task_options import DutyOptions
 
 EFFECTS = (Propose, Start, Stop, Told)
 STEPS = 5000
--- a/tests/digests/vote_persistence.py
+++ b/tests/digests/vote_persistence.py
@@ -5,8 +5,8 @@
 import random
 from collections.abc import Callable
 
-from valeturn.fleet.keeping import Keeping
-from valeturn.fleet.owner import Facts, Kept, Persist, Send, Told
+from valeturn.cluster.raft import Facts, Kept, Persist, Send, Told
+from valeturn.cluster.vote_persistence import Keeping
 
 EFFECTS = (Persist, Send, Told)
 STEPS = 5000
--- a/tests/digests/window_clock.py
+++ b/tests/digests/window_clock.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from valeturn.store.clock import Clock, Moment, Stamp, resume, same_boot
+from valeturn.result_store.window_clock import Clock, Moment, Stamp, resume, same_boot
 
 STEPS = 6000
 
--- a/tests/test_marks.py
+++ b/tests/dispatch/test_deduplication.py
@@ -5,14 +5,14 @@
 import pytest
 from helpers import WORKLOADS, Caller, Ends
 
-from valeturn import interface as it
+from valeturn.admission import interface as it
+from valeturn.admission.controller import Rules
+from valeturn.dispatch import messages as msg
+from valeturn.dispatch.executor_client import REPLAY_END
+from valeturn.dispatch.messages import LinkDown, LinkUp
 from valeturn.protocol import executor as lines
 from valeturn.protocol import frames
 from valeturn.protocol.executor import End
-from valeturn.routing import messages as msg
-from valeturn.routing.executor import REPLAY_END
-from valeturn.routing.messages import LinkDown, LinkUp
-from valeturn.rules import Rules
 
 KEPT = [lambda n: it.Remember(n, 8.0), it.Start]
 DELIVERED, TURNED_BACK, WRITTEN_OFF = 1, 0, 9
--- a/tests/test_routing.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -5,13 +5,13 @@
 import pytest
 from helpers import Caller, Ends
 
-from valeturn import interface as it
+from valeturn.admission import interface as it
+from valeturn.admission.controller import Rules
+from valeturn.dispatch import messages as msg
+from valeturn.dispatch.executor_client import REPLAY_END
+from valeturn.dispatch.turn_pacing import Pace
 from valeturn.protocol import executor as lines
 from valeturn.protocol.executor import End
-from valeturn.routing import messages as msg
-from valeturn.routing.executor import REPLAY_END
-from valeturn.routing.pace import Pace
-from valeturn.rules import Rules
 
 DELIVERED, TURNED_BACK, WRITTEN_OFF = 1, 0, 9
 CALL_ENDS = [one for one in it.Outcome if one is not it.Outcome.UNSTORED]  # that is a run's
--- a/tests/test_endings.py
+++ b/tests/dispatch/test_endings.py
@@ -9,25 +9,25 @@
 
 import pytest
 from helpers import frame, submission
-from test_transport import FAILED, Known, run, scheduler  # noqa: F401
-
-from valeturn.interface import Outcome
-from valeturn.program.bounds import derive
+from loop_support import FAILED, Known, run
+
+from valeturn.admission.interface import Outcome
+from valeturn.dispatch import executor_client as executor_module
+from valeturn.dispatch import gateway_server as gateways_module
+from valeturn.dispatch import ledger_client as ledger_module
+from valeturn.dispatch import messages as msg
+from valeturn.dispatch.executor_client import ExecutorLink
+from valeturn.dispatch.gateway_server import Gateways
+from valeturn.dispatch.http_exchange import exchange
+from valeturn.dispatch.ledger_client import Ledger
 from valeturn.protocol import executor as lines
 from valeturn.protocol.http import Malformed
-from valeturn.routing import executor as executor_module
-from valeturn.routing import gateways as gateways_module
-from valeturn.routing import ledger as ledger_module
-from valeturn.routing import messages as msg
-from valeturn.routing.exchange import exchange
-from valeturn.routing.executor import ExecutorLink
-from valeturn.routing.gateways import Gateways
-from valeturn.routing.ledger import Ledger
+from valeturn.server.resource_limits import derive
 from valeturn.transport import listener as listener_module
 from valeturn.transport import scheduler as scheduler_module
-from valeturn.transport.chance import Chance
 from valeturn.transport.listener import Accepted, Listener, listening
 from valeturn.transport.scheduler import READ, Mailbox
+from valeturn.transport.seeded_random import Chance
 from valeturn.transport.streams import Stream, Trouble, connect
 
 TURNED, OFF, NO_MORE = b"\x00\x00", b"\x09\x00", frame(3, 0)
--- a/tests/fabric_cases.py
+++ b/tests/fabric_cases.py
@@ -3,8 +3,8 @@
 import asyncio
 import traceback
 
-from valeturn.lab.fabric.fleet import Fleet
-from valeturn.lab.fabric.storm import MUST_NOT
+from valeturn.lab.fault_injection.fleet import Fleet
+from valeturn.lab.fault_injection.storm import MUST_NOT
 
 AT_ONCE = 4  # fleets side by side: a dozen servers, which eight cores start in a second
 EFFECT = "[duty effect]\ndo = run\ncommand = {effect}\nmost = 1 h\npatience = 100 ms\nfenced = number\n"
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,12 +6,12 @@
 import time
 from collections import deque
 
-from valeturn import interface as it
-from valeturn.program.bounds import derive
+from valeturn.admission import interface as it
+from valeturn.dispatch.dispatcher import Core, Parties, Telling
+from valeturn.dispatch.messages import Arrival, LinkUp
 from valeturn.protocol import executor as lines
 from valeturn.protocol import frames
-from valeturn.routing.core import Core, Parties, Telling
-from valeturn.routing.messages import Arrival, LinkUp
+from valeturn.server.resource_limits import derive
 
 IDEMPOTENT, DEDUPLICATED, UNREPEATABLE = it.Effect.IDEMPOTENT, it.Effect.DEDUPLICATED, it.Effect.UNREPEATABLE
 WORKLOADS = (
--- a/tests/test_fabric.py
+++ b/tests/lab/test_fault_injection.py
@@ -10,7 +10,7 @@
 import pytest
 from fabric_cases import EFFECT, Cases, nothing_broken
 
-from valeturn.lab.fabric.storm import DUTIES, MUST_NOT, play
+from valeturn.lab.fault_injection.storm import DUTIES, MUST_NOT, play
 
 case = Cases()
 
--- a/tests/test_fabric_turns.py
+++ b/tests/lab/test_fault_injection_maintenance.py
@@ -6,8 +6,8 @@
 import pytest
 from fabric_cases import Cases, nothing_broken
 
-from valeturn.lab.fabric.fleet import LEASE
-from valeturn.lab.fabric.turns import Supervisor, events, most_at_once, out, outs, rows, settings
+from valeturn.lab.fault_injection.fleet import LEASE
+from valeturn.lab.fault_injection.turns import Supervisor, events, most_at_once, out, outs, rows, settings
 
 case = Cases()
 TURNS = settings()
--- a/tests/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -7,7 +7,7 @@
 from types import SimpleNamespace
 
 import pytest
-from test_program import command
+from program_support import command
 
 from valeturn.lab import levels, restarts
 from valeturn.lab.checker import CUT, DELIVERED, SILENT, TURNED_BACK, WRITTEN_OFF, Try, check
--- a/tests/test_explore.py
+++ b/tests/lab/test_model_checker.py
@@ -1,10 +1,10 @@
 """The explorer: what it holds to be the same, its planted faults, and stories that play again."""
 
 import pytest
-from test_owner import ActsOnPastItsLease, KeepsNoPromise, VotesTwice
+from raft_faults import ActsOnPastItsLease, KeepsNoPromise, VotesTwice
 
-from valeturn.fleet import owner as ow
-from valeturn.lab import explore as ex
+from valeturn.cluster import raft as ow
+from valeturn.lab import model_checker as ex
 
 
 class LeadsByAnyAnswer(ow.Owner):
--- a/tests/test_turns.py
+++ b/tests/maintenance/test_maintenance.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from valeturn.fleet.membership import ALIVE, LEFT, Member
-from valeturn.fleet.owner import Facts, fact_of
+from valeturn.cluster.membership import ALIVE, LEFT, Member
+from valeturn.cluster.raft import Facts, fact_of
 from valeturn.lab import turns as lab
-from valeturn.transport.chance import Chance
-from valeturn.turns import order as od
-from valeturn.turns import place as pl
-from valeturn.turns.running import Turns
+from valeturn.maintenance import drain_schedule as od
+from valeturn.maintenance import local_drain as pl
+from valeturn.maintenance.coordinator import Turns
+from valeturn.transport.seeded_random import Chance
 
 LIMITS = od.Limits(most=1, share=1.0, one_zone=True, spare=0.1, answers=5, idle=30.0, keep=True)
 
--- a/tests/test_keyed.py
+++ b/tests/result_store/test_keyed_results.py
@@ -4,12 +4,12 @@
 from disk import Machine, seeded
 from helpers import Caller, Ends
 
-from valeturn import interface as it
+from valeturn.admission import interface as it
+from valeturn.admission.controller import Rules
+from valeturn.dispatch import messages as msg
+from valeturn.dispatch.executor_client import REPLAY_END
 from valeturn.protocol import executor as lines
 from valeturn.protocol.executor import End
-from valeturn.routing import messages as msg
-from valeturn.routing.executor import REPLAY_END
-from valeturn.rules import Rules
 
 DELIVERED, TURNED_BACK, WRITTEN_OFF = 1, 0, 9
 REMEMBERED = [lambda n: it.Remember(n, 8.0), it.Start]
--- a/valeturn/__main__.py
+++ b/valeturn/__main__.py
@@ -2,11 +2,11 @@
 
 import sys
 
-from .transport import held
+from .transport import early_signals
 
 if sys.argv[1:2] in ([], ["serve"]):  # a notice may come while the rest is loaded
-    held.hold()
+    early_signals.hold()
 
-from .program.commands import main  # noqa: E402
+from .server.commands import main  # noqa: E402
 
 sys.exit(main(sys.argv[1:]))
--- a/valeturn/rules.py
+++ b/valeturn/admission/controller.py
@@ -1,6 +1,6 @@
 """All decisions of one server. How to call it: `Rules(settings, seed, now)` once at start, then
 `decide(now, events)` with all events of a moment, in order; it returns the actions, in order.
-Types are in valeturn/interface.py, the reasons in docs/design.md, what to do at night in docs/on-call.md.
+Types are in interface.py, the reasons in docs/design.md, what to do at night in docs/on-call.md.
 
 Reading order: the table of states, then the steps of `decide`: take in, sweep, prune, start, say.
 """
--- a/valeturn/fleet/calls.py
+++ b/valeturn/cluster/call_quota.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from . import shares
+from . import quota
 
 
 class Calls:
@@ -13,7 +13,7 @@
         f = fleet.options
         # A few rounds, so that one may be lost, and what the loss of an owner takes mostly.
         self.lasts = max(4 * options.round, 2 * f.lease)
-        self.holder = shares.Holder(fleet.clock(), options.cap / f.largest, self.lasts)
+        self.holder = quota.Holder(fleet.clock(), options.cap / f.largest, self.lasts)
         self.splitter, self.ask_at = None, 0.0
 
     def usable(self):
@@ -40,7 +40,7 @@
             return
         if self.splitter is None or self.splitter.fence != fence:
             o = self.options
-            self.splitter = shares.Splitter(now, fence, o.cap, self.fleet.options.largest, self.lasts)
+            self.splitter = quota.Splitter(now, fence, o.cap, self.fleet.options.largest, self.lasts)
         held = int(holding[0]), int(holding[1])
         grant = self.splitter.asked(now, sender, float(need), float(stamp), held)
         if grant is None or self.fleet.acts(self.name) != fence:
@@ -52,7 +52,7 @@
 
     def on_share(self, now, sender, said):
         fence, number, *amounts = said
-        grant = shares.Grant(int(fence), int(number), *map(float, amounts))
+        grant = quota.Grant(int(fence), int(number), *map(float, amounts))
         holder, stale, before = self.holder, self.holder.stale, self.holder.usable(now)
         if holder.granted(now, grant):
             self.fleet.fences.passes(self.name, grant.fence)
@@ -60,7 +60,7 @@
             if abs(holder.amount - before) > 0.1 * before:
                 self.fleet.log(
                     "fleet_share",
-                    {"calls": holder.amount, "from": shares.SOURCES[holder.source], "fence": grant.fence},
+                    {"calls": holder.amount, "from": quota.SOURCES[holder.source], "fence": grant.fence},
                 )
         elif holder.stale > stale:
             self.fleet.count("fleet.shares.stale")
@@ -68,7 +68,7 @@
     def figures(self, now):
         return {
             "calls": self.holder.usable(now),
-            "from": shares.SOURCES[self.holder.source],
+            "from": quota.SOURCES[self.holder.source],
             "stale": self.holder.stale,
         }
 
--- a/valeturn/fleet/wire.py
+++ b/valeturn/cluster/codec.py
@@ -16,7 +16,7 @@
 import google_crc32c
 import msgpack
 
-from .bounds import MESSAGE
+from .limits import MESSAGE
 
 VERSION = 1
 HEAD = struct.Struct("<IIB")
--- a/valeturn/fleet/commands.py
+++ b/valeturn/cluster/commands.py
@@ -6,7 +6,7 @@
 import sys
 
 from ..control import client, requests
-from . import fences
+from . import fencing
 
 STALE = 3  # exit code: another has taken over
 
@@ -98,12 +98,12 @@
 def fenced_replace(path, fence, source):
     """Replaces a file with standard input, unless a higher number was there: exit code 3 then."""
     text = fence if fence is not None else os.environ.get("VALETURN_FENCE", "")
-    if not text.isascii() or not text.isdigit() or int(text) > fences.MOST:
+    if not text.isascii() or not text.isdigit() or int(text) > fencing.MOST:
         print(f"valeturn: --fence or VALETURN_FENCE wants a number, has {text!r}", file=sys.stderr)
         return 2
     try:
-        fences.replace(path, source.read(), int(text))
-    except fences.Stale as stale:
+        fencing.replace(path, source.read(), int(text))
+    except fencing.Stale as stale:
         print(
             f"valeturn: {path}: {stale.args[0]} is lower than {stale.args[1]}, which was there already",
             file=sys.stderr,
--- a/valeturn/fleet/membership.py
+++ b/valeturn/cluster/membership.py
@@ -15,7 +15,7 @@
 import math
 from typing import NamedTuple
 
-from .bounds import ADDRESS, GOSSIP, MEMBERS, SYNCED
+from .limits import ADDRESS, GOSSIP, MEMBERS, SYNCED
 
 # States of a member as it is known here.
 UNKNOWN, ALIVE, SUSPECTED, GONE, LEFT = range(5)
--- a/valeturn/fleet/running.py
+++ b/valeturn/cluster/node.py
@@ -10,18 +10,18 @@
 import time
 from typing import NamedTuple
 
-from ..transport.chance import Chance
-from ..transport.helper import Helper
+from ..transport.seeded_random import Chance
 from ..transport.streams import Stream, connect
-from . import bounds, duties, runs, votes
-from .calls import Calls
-from .fences import Fences
-from .founding import Founding
-from .keeping import Keeping
-from .links import Links
+from ..transport.worker_thread import Helper
+from . import limits, singleton_tasks, task_processes, vote_file
+from .bootstrap import Founding
+from .call_quota import Calls
+from .fencing import Fences
 from .membership import ALIVE, LEFT, STATES, SUSPECTED, Membership
-from .owner import ROLES, Facts, Owner, Send
-from .owner import Told as Committed
+from .peer_connections import Links
+from .raft import ROLES, Facts, Owner, Send
+from .raft import Told as Committed
+from .vote_persistence import Keeping
 
 TICKS = 12  # a lease
 # of the lease between words of one that remembers nothing, and between facts for those that don't vote
@@ -41,7 +41,7 @@
     clock: object = boot_clock
     to_boot: object = float  # a moment of `clock` by the boot clock
     dial: object = connect
-    folder: object = votes.Folder
+    folder: object = vote_file.Folder
     wall: object = time.time  # for the number of a life alone
     links: object = Links
 
@@ -60,7 +60,7 @@
             self.vote_folder.take()
             data = self.vote_folder.read()
             if data is not None:
-                found = votes.decode(data, options.name, name, options.listen)
+                found = vote_file.decode(data, options.name, name, options.listen)
                 life_kept, kept = found
             self.helper = Helper()
         # The vote's life is its folder's; each start has one of its own for who is there.
@@ -76,15 +76,15 @@
         self.owner = self.make_owner(kept=kept)
         self.founding = None
         if name in options.voters and self.owner.kept.blank and not self.owner.facts.voters:
-            floor = 0 if options.folder is not None else int(seams.wall()) << bounds.EPOCH
+            floor = 0 if options.folder is not None else int(seams.wall()) << limits.EPOCH
             self.founding = Founding(name, self.vote_life, floor, options.voters)
         self.vote = Keeping(self.vote_folder, self.helper, self.encode_vote)
-        self.duties = duties.Duties(name, self.vote_life, now)
+        self.duties = singleton_tasks.Duties(name, self.vote_life, now)
         self.fences = Fences()
         self.others = []  # subsystems on top: kinds, tick(now, term), each with messages of its own
         self.calls = None  # its share of them, where a duty splits them
         environment = {"VALETURN_SERVER": name, "VALETURN_FLEET": options.name}
-        self.runs = runs.Runs(scheduler, environment, self.run_ended)
+        self.runs = task_processes.Runs(scheduler, environment, self.run_ended)
         self.wanted = {}  # name -> life of those that would vote
         self.heard_facts = None  # what a server that does not vote was told: (term, facts, owner, when)
         self.told_at, self.told_facts = -1e9, {}  # name -> ((term, commit), when) that it was told last
@@ -101,7 +101,7 @@
 
     def encode_vote(self, kept):
         o = self.options
-        return votes.encode(o.name, self.name, o.listen, self.vote_life, kept)
+        return vote_file.encode(o.name, self.name, o.listen, self.vote_life, kept)
 
     def start(self):
         if self.helper is not None:
@@ -329,7 +329,7 @@
             return
         if done is not True and isinstance(row, list) and len(row) == 3 and isinstance(row[1], int):
             self.wanted[sender] = row[1]
-            if len(self.wanted) > bounds.MEMBERS:
+            if len(self.wanted) > limits.MEMBERS:
                 self.wanted.clear()
 
     def found(self):
@@ -369,7 +369,7 @@
 
     @staticmethod
     def epoch(fence):
-        return fence >> bounds.EPOCH
+        return fence >> limits.EPOCH
 
     def forget(self):
         """The fleet was revived without this one: what it has kept is of before, and it votes anew."""
@@ -408,11 +408,11 @@
     def carry_duties(self, effects):
         now = self.clock()
         for effect in effects:
-            if isinstance(effect, duties.Propose):
+            if isinstance(effect, singleton_tasks.Propose):
                 self.propose(effect.fact)
-            elif isinstance(effect, duties.Start):
+            elif isinstance(effect, singleton_tasks.Start):
                 self.start_command(now, effect)
-            elif isinstance(effect, duties.Stop):
+            elif isinstance(effect, singleton_tasks.Stop):
                 self.runs.stop(effect.name)
             else:
                 self.log(effect.event, effect.fields)
@@ -475,8 +475,8 @@
         if what == "admit":
             if name in voters:
                 return f"{name} votes already"
-            if len(voters) >= bounds.VOTERS:
-                return f"{bounds.VOTERS} voters at the most"
+            if len(voters) >= limits.VOTERS:
+                return f"{limits.VOTERS} voters at the most"
             if name not in self.wanted:
                 return f"{name} has not said that it would vote: is it there, and in this fleet?"
             self.asked_in.add(name)
@@ -506,7 +506,7 @@
         ):
             return f"there is an owner: {self.owner.leader}"
         _, facts, _ = self.facts()
-        floor = (self.epoch(max([facts.fence, *self.fences.seen.values()])) + 1) << bounds.EPOCH
+        floor = (self.epoch(max([facts.fence, *self.fences.seen.values()])) + 1) << limits.EPOCH
         self.vote_anew()
         self.founding = None
         voters = ((self.name, self.vote_life),)
--- a/valeturn/fleet/options.py
+++ b/valeturn/cluster/options.py
@@ -5,9 +5,9 @@
 import re
 from typing import NamedTuple
 
-from ..options.kinds import Folder, Quantity, Switch, Wants, Whole
-from ..options.schema import REQUIRED, Field, Shape
-from . import bounds
+from ..operator_config.schema import REQUIRED, Field, Shape
+from ..operator_config.value_types import Folder, Quantity, Switch, Wants, Whole
+from . import limits
 from .membership import SUSPICION
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]*")
@@ -29,7 +29,7 @@
     """The kind of a name of a server, a zone or a fleet."""
 
     def read(self, text):
-        if not NAME.fullmatch(text) or len(text) > bounds.ADDRESS:
+        if not NAME.fullmatch(text) or len(text) > limits.ADDRESS:
             raise Wants("unreadable-value", f"wants letters, digits, '-', '_' or '.', has {text!r}")
         return text
 
@@ -119,13 +119,13 @@
         "name": Field(Word(), REQUIRED),
         "listen": Field(Address(), REQUIRED),
         "seeds": Field(Many(Address(), 16), REQUIRED),
-        "voters": Field(Many(Word(), bounds.VOTERS), REQUIRED),
+        "voters": Field(Many(Word(), limits.VOTERS), REQUIRED),
         "folder": Field(Folder(), None),
         "zone": Field(Word(), "-"),
         "probe": Field(Quantity("a time", 0.1, 60.0), 1.0),
         "lease": Field(Quantity("a time", 0.2, 60.0), 2.0),
         "even": Field(Switch(), False),
-        "largest": Field(Whole(1, bounds.MEMBERS), 200),
+        "largest": Field(Whole(1, limits.MEMBERS), 200),
     },
     build,
 )
--- a/valeturn/fleet/links.py
+++ b/valeturn/cluster/peer_connections.py
@@ -9,10 +9,10 @@
 import socket
 from collections import deque
 
-from ..transport.chance import Backoff
+from ..transport.backoff import Backoff
 from ..transport.listener import Listener
 from ..transport.streams import Stream, connect
-from . import bounds, wire
+from . import codec, limits
 
 CONNECTING = 1.0  # s for a connection: round trips of a slow network, and one lost packet
 FIRST, LONGEST = 0.1, 2.0  # s between attempts to reach one that is not there
@@ -49,7 +49,7 @@
         self.scheduler, self.fleet, self.listen, self.who, self.hear = scheduler, fleet, listen, who, hear
         self.chance, self.count, self.dial = chance, count, dial
         self.peers, self.links, self.lives = {}, set(), {}
-        self.listener = Listener(scheduler, address(listen), bounds.LINKS, self.accept, self.make_room)
+        self.listener = Listener(scheduler, address(listen), limits.LINKS, self.accept, self.make_room)
         self.closed = False
 
     # ---- sending
@@ -60,14 +60,14 @@
             return
         now, name_life = self.scheduler.clock(), self.who()
         try:
-            data = wire.encode(self.fleet, *name_life, kind, fields)
+            data = codec.encode(self.fleet, *name_life, kind, fields)
         except ValueError:
             self.count("fleet.too_long")
             return
         self.count("fleet.sent")
         peer = self.peers.get(at)
         if peer is None:
-            if len(self.peers) >= bounds.MEMBERS:
+            if len(self.peers) >= limits.MEMBERS:
                 self.count("fleet.dropped")
                 return
             peer = self.peers[at] = Peer(at, self.chance)
@@ -77,7 +77,7 @@
             return
         peer.queue.append((now, data))
         peer.size += len(data)
-        while len(peer.queue) > bounds.QUEUED or peer.size > bounds.QUEUED_BYTES and len(peer.queue) > 1:
+        while len(peer.queue) > limits.QUEUED or peer.size > limits.QUEUED_BYTES and len(peer.queue) > 1:
             peer.size -= len(peer.queue.popleft()[1])
             self.count("fleet.dropped")
         if peer.link is not None:
@@ -92,7 +92,7 @@
             at, data = peer.queue[0]
             if now - at > MOST_LATE:
                 self.count("fleet.dropped")
-            elif len(stream.unsent) > bounds.UNSENT:
+            elif len(stream.unsent) > limits.UNSENT:
                 return
             else:
                 stream.write(data)
@@ -130,7 +130,7 @@
         sock = link.stream.sock
         if sock.family == socket.AF_INET:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, STUCK)
-        link.stream.write(wire.encode(self.fleet, *self.who(), "hello", [self.listen]))
+        link.stream.write(codec.encode(self.fleet, *self.who(), "hello", [self.listen]))
 
     # ---- receiving
 
@@ -140,11 +140,11 @@
         self.scheduler.spawn(self.read, link, name="link")
 
     def read(self, link):
-        decoder = wire.Decoder(self.fleet)
+        decoder = codec.Decoder(self.fleet)
         try:
             while isinstance(data := link.stream.read(IDLE), bytes):
                 for one in decoder.feed(data):
-                    why = one.why if isinstance(one, wire.Fault) else self.take(link, one)
+                    why = one.why if isinstance(one, codec.Fault) else self.take(link, one)
                     if why is not None:
                         self.count("fleet.refused." + why)
                         return
@@ -158,7 +158,7 @@
             return "own_name"
         if life < self.lives.get(name, 0):
             return "earlier_life"
-        if len(self.lives) >= 2 * bounds.MEMBERS and name not in self.lives:
+        if len(self.lives) >= 2 * limits.MEMBERS and name not in self.lives:
             self.lives.clear()  # who is still there says its life again
         self.lives[name] = life
         if link.name is None:
@@ -178,7 +178,7 @@
         link.at = at = message.fields[0]
         peer = self.peers.get(at)
         if peer is None:
-            if len(self.peers) >= bounds.MEMBERS:
+            if len(self.peers) >= limits.MEMBERS:
                 return "too_many"
             peer = self.peers[at] = Peer(at, self.chance)
         peer.used = self.scheduler.clock()
--- a/valeturn/fleet/guard.py
+++ b/valeturn/cluster/process_guard.py
@@ -17,7 +17,7 @@
 import sys
 import time
 
-TAIL = 2000  # bytes kept, as fleet/bounds.py has it
+TAIL = 2000  # bytes kept, as cluster/limits.py has it
 KILLED = 0.15  # of the last lease told, before its end, at which all is killed: see dutyoptions
 SUBREAPER, DIE_WITH_PARENT = 36, 1  # prctl's
 LOOK = 0.02  # s between looks: a tenth of what is set aside for ending at the shortest lease
--- a/valeturn/fleet/shares.py
+++ b/valeturn/cluster/quota.py
@@ -19,7 +19,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from .owner import DRIFT
+from .raft import DRIFT
 
 NEVER_LENT = 0.25  # of the sure share: what a server that has just started, or needs nothing, may always use
 MARGIN = 1.25  # of what is needed: need rises by a quarter within a round at most where load is steady
--- a/valeturn/fleet/owner.py
+++ b/valeturn/cluster/raft.py
@@ -68,7 +68,7 @@
     voters: tuple = ()  # (name, life) of those that vote
     duties: tuple = ()  # (duty, owner, life, fence), by duty
     fence: int = 0  # the largest handed out
-    turns: tuple = ()  # rows of machines that go out for work, by server: see turns/order.py
+    turns: tuple = ()  # rows of machines that go out for work, by server: see maintenance/drain_schedule.py
     held: bool = False  # nobody else goes out
 
     def duty(self, name):
@@ -130,7 +130,7 @@
         )
 
 
-STATE, FENCE, GRANTED = 5, 6, 1  # of a turn's row, as turns/order.py has it
+STATE, FENCE, GRANTED = 5, 6, 1  # of a turn's row, as maintenance/drain_schedule.py has it
 
 
 class Kept(NamedTuple):
--- a/valeturn/fleet/dutyoptions.py
+++ b/valeturn/cluster/task_options.py
@@ -4,9 +4,9 @@
 
 from typing import NamedTuple
 
-from ..options.kinds import One, Quantity, Text, Whole
-from ..options.schema import REQUIRED, Field, Shape
-from . import bounds
+from ..operator_config.schema import REQUIRED, Field, Shape
+from ..operator_config.value_types import One, Quantity, Text, Whole
+from . import limits
 
 KILLED = 0.15  # of the lease, before its end, at which a command is killed that did not heed TERM
 LONGEST_PATIENCE = 0.3  # of the lease: with KILLED under half of it, what a healthy owner always has left
@@ -57,11 +57,11 @@
         faults.append(
             duties[name].where["do"].fault("doubled-duty", f"[duty {sharing[0]}] shares the calls already")
         )
-    if len(duties) > bounds.DUTIES:
+    if len(duties) > limits.DUTIES:
         faults.append(
             next(iter(duties.values()))
             .where["do"]
-            .fault("out-of-range", f"{bounds.DUTIES} duties at the most, has {len(duties)}")
+            .fault("out-of-range", f"{limits.DUTIES} duties at the most, has {len(duties)}")
         )
     if sharing and not any(w.calls for w in c.names.settings.workloads):
         faults.append(duties[sharing[0]].where["do"].fault("no-calls", "no workload here makes calls"))
--- a/valeturn/fleet/runs.py
+++ b/valeturn/cluster/task_processes.py
@@ -8,9 +8,9 @@
 import sys
 
 from ..transport.scheduler import READ
-from . import bounds
+from . import limits
 
-GUARD = os.path.join(os.path.dirname(__file__), "guard.py")
+GUARD = os.path.join(os.path.dirname(__file__), "process_guard.py")
 
 
 class Run:
@@ -68,7 +68,7 @@
                 continue
             if not data:
                 break
-            run.text = (run.text + data)[-8 * bounds.TAIL :]  # the tail as JSON writes it
+            run.text = (run.text + data)[-8 * limits.TAIL :]  # the tail as JSON writes it
         self.scheduler.closing(out.fileno())
         out.close()
         self.close(run)
--- a/valeturn/fleet/votes.py
+++ b/valeturn/cluster/vote_file.py
@@ -16,7 +16,7 @@
 import google_crc32c
 import msgpack
 
-from .owner import Entry, Facts, Kept, fact_of
+from .raft import Entry, Facts, Kept, fact_of
 
 MAGIC = b"valeturn vote 1\n"
 FILE = "vote"
--- a/valeturn/fleet/keeping.py
+++ b/valeturn/cluster/vote_persistence.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from .owner import Persist
+from .raft import Persist
 
 RETRY = 1.0  # s from a write that failed to the next
 
--- a/valeturn/control/commands.py
+++ b/valeturn/control/commands.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from ..options.kinds import Quantity, Wants
+from ..operator_config.value_types import Quantity, Wants
 from . import client
 from .requests import LONGEST_HOLD
 
--- a/valeturn/control/options.py
+++ b/valeturn/control/options.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
-from ..options.kinds import Folder
-from ..options.schema import REQUIRED, Field, Shape
+from ..operator_config.schema import REQUIRED, Field, Shape
+from ..operator_config.value_types import Folder
 
 LONGEST_PATH = 100  # bytes of a Unix socket's path: the system takes 107
 
--- a/valeturn/levels/conditions.py
+++ b/valeturn/degradation/conditions.py
@@ -8,7 +8,7 @@
 import functools
 from typing import NamedTuple
 
-from ..options.kinds import FAMILIES, Wants
+from ..operator_config.value_types import FAMILIES, Wants
 
 # Signal -> the family of its unit, and the most that it can be. What it is made of stands in signals.py.
 SIGNALS = {
--- a/valeturn/levels/options.py
+++ b/valeturn/degradation/options.py
@@ -4,12 +4,12 @@
 
 from typing import NamedTuple
 
-from ..interface import Reduced
-from ..options.kinds import Quantity, Switch, Wants, Whole
-from ..options.schema import REQUIRED, Field, Shape
+from ..admission.interface import Reduced
+from ..operator_config.schema import REQUIRED, Field, Shape
+from ..operator_config.value_types import Quantity, Switch, Wants, Whole
 from .conditions import Kind
-from .decision import Level
-from .reach import unreached
+from .controller import Level
+from .reachability import unreached
 
 
 class Names(NamedTuple):
--- a/valeturn/routing/sharing.py
+++ b/valeturn/dispatch/call_quota.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .. import interface as it
+from ..admission import interface as it
 
 FADES = 0.7  # of the need seen last that counts at the next look: a burst is asked for some rounds longer
 
--- a/valeturn/routing/repeating.py
+++ b/valeturn/dispatch/deduplication.py
@@ -7,10 +7,10 @@
 
 from __future__ import annotations
 
-from .. import interface as it
+from ..admission import interface as it
 from . import messages as msg
-from .open import NOTED
-from .repeats import UNREAD, Repeats
+from .deduplication_table import UNREAD, Repeats
+from .pending_request import NOTED
 
 IN_STORE = 0  # what the module is told that a newcomer repeats, where only the store knows it; ids begin at 1
 
--- a/valeturn/routing/reduced.py
+++ b/valeturn/dispatch/degradation_monitor.py
@@ -3,9 +3,9 @@
 
 from __future__ import annotations
 
-from .. import interface as it
-from ..levels.decision import STATES, Decision
-from ..levels.signals import Signals
+from ..admission import interface as it
+from ..degradation.controller import STATES, Decision
+from ..degradation.signals import Signals
 
 FAILED = (it.Outcome.ERROR, it.Outcome.TIMED_OUT, it.Outcome.RESET, it.Outcome.UNREACHED)
 
--- a/valeturn/routing/core.py
+++ b/valeturn/dispatch/dispatcher.py
@@ -11,13 +11,13 @@
 import time
 from typing import NamedTuple
 
-from .. import interface as it
+from ..admission import interface as it
 from ..protocol import executor as lines
 from ..transport.scheduler import Mailbox
 from . import messages as msg
-from .open import DOUBTED, IDLE, UNSENT, Open
-from .repeating import Repeating
-from .runs import Runs
+from .deduplication import Repeating
+from .executions import Runs
+from .pending_request import DOUBTED, IDLE, UNSENT, Open
 
 GAUGES_AHEAD = 0.005  # s before a wake-up that its gauges are asked for: the answer took 0.3 ms, 1 at most
 GAUGES_LAST = 0.3  # s that gauges count as the moment's: three sweeps, so that one late answer is bridged
--- a/valeturn/routing/runs.py
+++ b/valeturn/dispatch/executions.py
@@ -6,11 +6,11 @@
 
 from __future__ import annotations
 
-from .. import interface as it
+from ..admission import interface as it
 from ..protocol import executor as lines
 from . import messages as msg
-from .executor import REPLAY_END
-from .open import DOUBTED, IDLE, NOTED, REACHED, SENT, UNSENT, WANTED, Reply
+from .executor_client import REPLAY_END
+from .pending_request import DOUBTED, IDLE, NOTED, REACHED, SENT, UNSENT, WANTED, Reply
 
 # A run in doubt has this many times its hinted work, and so many seconds on top, to be heard of: most runs
 # end sooner, and what is told to stop when it does run is lost.
--- a/valeturn/routing/executor.py
+++ b/valeturn/dispatch/executor_client.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..protocol import executor as lines
-from ..transport.chance import Backoff
+from ..transport.backoff import Backoff
 from ..transport.streams import Trouble, connect
 from .messages import LinkDown, LinkUp, NoticesMissed
 
--- a/valeturn/routing/ledger.py
+++ b/valeturn/dispatch/ledger_client.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from ..interface import Outcome
+from ..admission.interface import Outcome
 from ..protocol import http
 from ..transport.streams import Trouble
-from .exchange import Failure, Stage, exchange
+from .http_exchange import Failure, Stage, exchange
 from .messages import CallOver
 
 
--- a/valeturn/routing/messages.py
+++ b/valeturn/dispatch/messages.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from ..interface import Outcome
+from ..admission.interface import Outcome
 from ..protocol.submitted import Submitted
 
 
--- a/valeturn/routing/naming.py
+++ b/valeturn/dispatch/registry_client.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from ..protocol import http
-from ..transport.chance import Backoff
-from .exchange import Failure, Stage, exchange
+from ..transport.backoff import Backoff
+from .http_exchange import Failure, Stage, exchange
 
 EVERY = 0.7  # s between reports at most: four fit into the 3 s after which a silent server leaves the list
 APART = 0.2  # of it by chance: hundreds of servers that start at one moment do not report in step for ever
--- a/valeturn/lab/commands.py
+++ b/valeturn/lab/commands.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from ..fleet.bounds import VOTERS
+from ..cluster.limits import VOTERS
 
 
 def number(given, name):
@@ -23,8 +23,8 @@
             number(given, "--kills"), number(given, "--seed"), number(given, "--lanes"), given["--keep"]
         )
     if given["fleet-days"]:
-        from .fleetdays.main import days_named
-        from .fleetdays.main import main as fleet_days
+        from .fleet_scenarios.main import days_named
+        from .fleet_scenarios.main import main as fleet_days
 
         try:
             names = days_named(given["--day"])
@@ -44,15 +44,15 @@
         first = number(given, "--seed")
         seeds = range(first, first + max(1, number(given, "--seeds")))
         if given["--measure"]:
-            from .fabric.measure import main as measure_fleet
+            from .fault_injection.measure import main as measure_fleet
 
             return measure_fleet(number(given, "--servers"), first, sys.stdout)
         if given["--virtual"] and number(given, "--servers") > VOTERS:
-            from .fabric.virtual import measure as whole
+            from .fault_injection.virtual import measure as whole
 
             return 0 if all([whole(number(given, "--servers"), seed, sys.stdout) for seed in seeds]) else 1
         if not given["--virtual"]:
-            from .fabric.storm import main as storm
+            from .fault_injection.storm import main as storm
 
             servers, faults = number(given, "--servers"), number(given, "--faults")
             return storm(servers, faults, seeds, sys.stdout, not given["--no-fences"], given["--keep"])
@@ -66,7 +66,7 @@
             from .turns import main as release
 
             return max(release(servers, seeds, sys.stdout, 0.85, lost) for lost in (0.0, 0.1))
-        from .fabric.turns import main as turns
+        from .fault_injection.turns import main as turns
 
         return turns(servers, number(given, "--faults"), seeds, sys.stdout, given["--keep"])
     if given["shares"]:
--- a/valeturn/lab/emulator.py
+++ b/valeturn/lab/emulator.py
@@ -13,10 +13,10 @@
 import math
 from typing import NamedTuple
 
-from .. import interface as it
-from ..routing.reduced import Reducing
-from ..rules import Rules
-from ..transport.chance import Chance
+from ..admission import interface as it
+from ..admission.controller import Rules
+from ..dispatch.degradation_monitor import Reducing
+from ..transport.seeded_random import Chance
 
 LAG = 1.5  # s that callers' lists are behind
 BACK_OFF = 0.1  # s after which a caller comes again where it was not told when
--- a/valeturn/lab/fabric/member.py
+++ b/valeturn/lab/fault_injection/member.py
@@ -1,7 +1,7 @@
 """The program's server with the laboratory's seams: its peers are reached through relays, its clock is one
 that can run fast or stand still, and it notes down, for the witness, when it would act and what it may use.
 
-    python -m valeturn.lab.fabric.member CONFIG SETTINGS SEAMS
+    python -m valeturn.lab.fault_injection.member CONFIG SETTINGS SEAMS
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 import sys
 import time
 
-from ...fleet import running, votes
-from ...program.commands import serve
-from ...program.configuration import Wrong
-from ...program.seams import Seams
+from ...cluster import node, vote_file
+from ...server.commands import serve
+from ...server.configuration import Wrong
+from ...server.test_overrides import Seams
 from ...transport.streams import connect
 
 CLOCK = struct.Struct("<ddd")  # rate, own time and true time at which it holds
@@ -32,7 +32,7 @@
 
     def now(self):
         rate, own, true = CLOCK.unpack(self.map[: CLOCK.size])
-        return own + rate * (running.boot_clock() - true)
+        return own + rate * (node.boot_clock() - true)
 
     def to_boot(self, moment):
         rate, own, true = CLOCK.unpack(self.map[: CLOCK.size])
@@ -44,7 +44,7 @@
         file.write(CLOCK.pack(rate, own, true))
 
 
-class Noting(running.Fleet):
+class Noting(node.Fleet):
     """Notes: "acts TRUE_TIME TERM", the time read before the lease was looked at, and "share TRUE_TIME AMOUNT
     UNTIL" in true time."""
 
@@ -52,7 +52,7 @@
         os.write(self.notes, line.encode() + b"\n")
 
     def tick(self):
-        before = running.boot_clock()
+        before = node.boot_clock()
         if self.leads(self.clock()):
             self.note(f"acts {before:.6f} {self.owner.kept.term}")
         super().tick()
@@ -68,15 +68,15 @@
     def note_share(self):
         amount, until = self.calls.usable(), self.calls.holder.until
         until = self.seams.to_boot(until) if until < 1e300 else 1e300
-        line = f"share {running.boot_clock():.6f} {amount!r} {until:.6f}"
+        line = f"share {node.boot_clock():.6f} {amount!r} {until:.6f}"
         if line.split()[2:] != getattr(self, "noted", None):
             self.noted = line.split()[2:]
             self.note(line)
 
-    KINDS = {**running.Fleet.KINDS, "share": on_share}
+    KINDS = {**node.Fleet.KINDS, "share": on_share}
 
 
-class Filling(votes.Folder):
+class Filling(vote_file.Folder):
     """On a disk that is full while a file says so."""
 
     full = None
@@ -93,13 +93,13 @@
     relays = {tuple(one["of"]): tuple(one["through"]) for one in told["relays"]}
     clock = Clock(told["clock"])
     Noting.notes = os.open(told["notes"], os.O_CREAT | os.O_APPEND | os.O_WRONLY)
-    running.Fleet, Filling.full = Noting, told["full"]
+    node.Fleet, Filling.full = Noting, told["full"]
 
     def dial(scheduler, address, patience):
         return connect(scheduler, relays.get(address, address), patience)
 
     wall = told["wall"]  # s that this server's wall clock is off
-    fleet = running.Seams(clock.now, clock.to_boot, dial, Filling, lambda: time.time() + wall)
+    fleet = node.Seams(clock.now, clock.to_boot, dial, Filling, lambda: time.time() + wall)
     try:
         return serve(config, settings=settings, seams=Seams(fleet=fleet))
     except Wrong as wrong:
--- a/valeturn/lab/fabric/storm.py
+++ b/valeturn/lab/fault_injection/storm.py
@@ -7,7 +7,7 @@
 import shutil
 import tempfile
 
-from ...fleet.owner import ROLES
+from ...cluster.raft import ROLES
 from .fleet import CALL_CAP, LEASE, ROUND, Fleet
 
 DUTIES = f"""
--- a/valeturn/lab/fleetdays/plainer.py
+++ b/valeturn/lab/fleet_scenarios/baselines.py
@@ -5,7 +5,7 @@
 import importlib.util
 import pathlib
 
-from ... import interface as it
+from ...admission import interface as it
 
 RUNS, WAITING = 2, 4  # a core: a plain pool with a short queue
 SWEEP = 0.1  # s, as often as the module looks
@@ -67,7 +67,7 @@
 def policy(name):
     """(a name to print, what makes the rules): `module`, `pool`, or a file that holds an earlier module."""
     if name == "module":
-        from ...rules import Rules
+        from ...admission.controller import Rules
 
         return name, Rules
     if name == "pool":
--- a/valeturn/lab/fleetdays/days.py
+++ b/valeturn/lab/fleet_scenarios/days.py
@@ -5,8 +5,8 @@
 import math
 from typing import NamedTuple
 
-from ... import interface as it
-from ...transport.chance import Chance
+from ...admission import interface as it
+from ...transport.seeded_random import Chance
 from ..emulator import Mix
 
 # As the operators' brief has it, rounded: shares, work of one core, goals, cut-offs, what an answer earns.
--- a/valeturn/lab/fleetdays/gateways.py
+++ b/valeturn/lab/fleet_scenarios/gateways.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from . import witness as seen
+from . import history_checker as seen
 from .days import NEVER, zone_of
 
 TRY_SHARE = 0.6  # of the cut-off, after which a try is given up: the platform has 0.34 to 1
--- a/valeturn/lab/fleetdays/main.py
+++ b/valeturn/lab/fleet_scenarios/main.py
@@ -5,8 +5,8 @@
 import concurrent.futures
 import os
 
+from .baselines import policy
 from .days import DAYS, draw
-from .plainer import policy
 from .world import Fleet
 
 
--- a/valeturn/lab/fleetdays/servers.py
+++ b/valeturn/lab/fleet_scenarios/servers.py
@@ -4,9 +4,9 @@
 
 from collections import deque
 
-from ... import interface as it
+from ...admission import interface as it
 from ..emulator import Run, Server
-from . import witness as seen
+from . import history_checker as seen
 from .days import INTAKE, MEAN_WORK, NEVER, zone_of
 
 HANDSHAKE = 0.002  # s of a core for a new connection
--- a/valeturn/lab/fleetdays/world.py
+++ b/valeturn/lab/fleet_scenarios/world.py
@@ -4,11 +4,11 @@
 
 import math
 
-from ... import interface as it
-from ...transport.chance import Chance
+from ...admission import interface as it
+from ...transport.seeded_random import Chance
 from ..emulator import Scene, World
 from . import days as d
-from . import witness as seen
+from . import history_checker as seen
 from .gateways import Asked, Gateway
 from .servers import FleetServer
 
--- a/valeturn/lab/fleetvirtual.py
+++ b/valeturn/lab/fleetvirtual.py
@@ -10,9 +10,9 @@
 import math
 import time
 
-from ..fleet import membership as ms
-from ..fleet import wire
-from ..transport.chance import Chance
+from ..cluster import codec
+from ..cluster import membership as ms
+from ..transport.seeded_random import Chance
 from .virtual import Timeline, percentile
 
 TICK = 0.1  # s of a server's own clock between looks
@@ -98,9 +98,9 @@
     def send(self, node, address, kind, fields):
         self.sent += 1
         if self.bytes_too:
-            data = wire.encode("lab", node.name, node.membership.me.life, kind, fields)
+            data = codec.encode("lab", node.name, node.membership.me.life, kind, fields)
             self.size += len(data)
-            (message,) = wire.Decoder("lab").feed(data)
+            (message,) = codec.Decoder("lab").feed(data)
             kind, fields = message.kind, message.fields
         other = self.by_address.get(address)
         if other is None or self.chance.share() < self.loss or self.cut(node, other):
--- a/valeturn/lab/floods.py
+++ b/valeturn/lab/floods.py
@@ -27,7 +27,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from ..transport.chance import Chance
+from ..transport.seeded_random import Chance
 from .checker import CUT, DELIVERED, NOTICED, SILENT, TURNED_BACK
 from .executor import Executor, Plan
 from .gateways import CODES, Connection, frame, read_answer, submission
--- a/valeturn/lab/levels.py
+++ b/valeturn/lab/levels.py
@@ -8,9 +8,9 @@
 import os
 import pathlib
 
-from .. import interface as it
-from ..levels.conditions import Kind
-from ..levels.decision import Level
+from ..admission import interface as it
+from ..degradation.conditions import Kind
+from ..degradation.controller import Level
 from .emulator import Mix, Scene, World
 
 WORKLOADS = (
--- a/valeturn/lab/levelsreal.py
+++ b/valeturn/lab/levelsreal.py
@@ -16,7 +16,7 @@
 import sys
 import tempfile
 
-from ..transport.chance import Chance
+from ..transport.seeded_random import Chance
 from .checker import DELIVERED, TURNED_BACK
 from .emulator import BACK_OFF, TRIES
 from .executor import Executor, Plan
--- a/valeturn/lab/explore.py
+++ b/valeturn/lab/model_checker.py
@@ -16,7 +16,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from ..fleet.owner import Owner, Persist, Send, Told
+from ..cluster.raft import Owner, Persist, Send, Told
 
 STEP = 0.52  # of a lease: one keeps within it, two pass a promise
 
--- a/valeturn/lab/ownervirtual.py
+++ b/valeturn/lab/ownervirtual.py
@@ -7,8 +7,8 @@
 
 from __future__ import annotations
 
-from ..fleet.owner import DRIFT, Owner, Persist, Send, Told
-from ..transport.chance import Chance
+from ..cluster.raft import DRIFT, Owner, Persist, Send, Told
+from ..transport.seeded_random import Chance
 from .virtual import Timeline, percentile
 
 LEASE = 1.0  # s
--- a/valeturn/lab/restarts.py
+++ b/valeturn/lab/restarts.py
@@ -18,7 +18,7 @@
 import tempfile
 import time
 
-from ..transport.chance import Chance
+from ..transport.seeded_random import Chance
 from .checker import Verdict, check
 from .executor import Executor, Plan
 from .gateways import Gateway
--- a/valeturn/lab/shares.py
+++ b/valeturn/lab/shares.py
@@ -10,10 +10,10 @@
 from collections import deque
 from typing import NamedTuple
 
-from ..fleet.owner import DRIFT
-from ..fleet.shares import Grant, Holder, Splitter
-from ..transport.chance import Chance
-from .explore import search
+from ..cluster.quota import Grant, Holder, Splitter
+from ..cluster.raft import DRIFT
+from ..transport.seeded_random import Chance
+from .model_checker import search
 from .virtual import Timeline
 
 LASTS = 2.0  # s of a grant
--- a/valeturn/lab/turns.py
+++ b/valeturn/lab/turns.py
@@ -9,9 +9,9 @@
 
 import math
 
-from ..fleet.owner import Facts, fact_of
-from ..transport.chance import Chance
-from ..turns import order as od
+from ..cluster.raft import Facts, fact_of
+from ..maintenance import drain_schedule as od
+from ..transport.seeded_random import Chance
 from .virtual import percentile
 
 STEP = 0.5  # s
--- a/valeturn/lab/victim.py
+++ b/valeturn/lab/victim.py
@@ -12,9 +12,9 @@
 import signal
 import sys
 
-from ..program.commands import serve
-from ..program.seams import Seams
-from ..store.files import Files
+from ..result_store.directory import Files
+from ..server.commands import serve
+from ..server.test_overrides import Seams
 
 
 class Deadly(Files):
--- a/valeturn/turns/commands.py
+++ b/valeturn/maintenance/commands.py
@@ -7,7 +7,7 @@
 import time
 
 from ..control import client, requests
-from ..options.kinds import Quantity, Wants
+from ..operator_config.value_types import Quantity, Wants
 
 REFUSED, OVERDUE = 3, 4  # exit codes
 
--- a/valeturn/turns/running.py
+++ b/valeturn/maintenance/coordinator.py
@@ -4,10 +4,10 @@
 
 from typing import NamedTuple
 
-from ..fleet.membership import ALIVE, SUSPECTED
-from ..fleet.runs import Runs
-from . import place as pl
-from .order import DRAINING, EMPTY, STATES, WAITING, Order, Row, View, read_row, seen
+from ..cluster.membership import ALIVE, SUSPECTED
+from ..cluster.task_processes import Runs
+from . import local_drain as pl
+from .drain_schedule import DRAINING, EMPTY, STATES, WAITING, Order, Row, View, read_row, seen
 
 ROUND = 0.5  # of a lease between reports
 LASTS = 1.5  # leases that a word of the owner is good, from the report that it answers
--- a/valeturn/turns/options.py
+++ b/valeturn/maintenance/options.py
@@ -4,9 +4,9 @@
 
 from typing import NamedTuple
 
-from ..options.kinds import One, Quantity, Switch, Text, Whole
-from ..options.schema import Field, Shape
-from .order import Limits
+from ..operator_config.schema import Field, Shape
+from ..operator_config.value_types import One, Quantity, Switch, Text, Whole
+from .drain_schedule import Limits
 
 
 class TurnsOptions(NamedTuple):
--- a/valeturn/metrics/options.py
+++ b/valeturn/metrics/options.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
-from ..options.kinds import Folder, Quantity
-from ..options.schema import REQUIRED, Field, Shape
+from ..operator_config.schema import REQUIRED, Field, Shape
+from ..operator_config.value_types import Folder, Quantity
 
 LIBRARY = 14_000_000  # bytes that the client library takes in the server
 
--- a/valeturn/options/schema.py
+++ b/valeturn/operator_config/schema.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from .grammar import Fault, Value, parse
-from .kinds import Wants
+from .value_types import Wants
 
 
 class Field(NamedTuple):
--- a/valeturn/store/commands.py
+++ b/valeturn/result_store/commands.py
@@ -5,15 +5,15 @@
 import os
 import sys
 
-from ..transport.helper import Inline
-from . import bounds, clock, records
-from . import files as names
-from .entry import STATES
-from .files import Files
-from .kept import Kept
+from ..transport.worker_thread import Inline
+from . import directory as names
+from . import limits, records, window_clock
+from .compaction_policy import UNREAD
+from .directory import Files
+from .entry_states import STATES
 from .opening import open_folder
 from .recovery import Refused
-from .upkeep import UNREAD
+from .store import Kept
 
 
 class Plain:
@@ -39,9 +39,9 @@
 
 
 def _open(folder):
-    moment = clock.read(clock.boot_id())
+    moment = window_clock.read(window_clock.boot_id())
     opened = open_folder(Files(folder), moment, may_make=False)
-    return opened, clock.resume(opened.found.stamp, moment)
+    return opened, window_clock.resume(opened.found.stamp, moment)
 
 
 def inspect(folder):
@@ -110,17 +110,17 @@
     if not files.prepare():
         print(f"valeturn: {folder}: another process has it", file=sys.stderr)
         return 2
-    boot_id = clock.boot_id()
+    boot_id = window_clock.boot_id()
     before = sum(files.size(file) for file in files.names())
-    open_folder(files, clock.read(boot_id), may_make=False)
+    open_folder(files, window_clock.read(boot_id), may_make=False)
     said = []
-    limits = bounds.derive(1 << 60, 1 << 40, 4_000_000)
+    derived = limits.derive(1 << 60, 1 << 40, 4_000_000)
     kept = Kept(
         Plain,
-        limits,
+        derived,
         files,
         Inline(),
-        lambda: clock.read(boot_id),
+        lambda: window_clock.read(boot_id),
         0.0,
         lambda *_: None,
         lambda event, fields: said.append((event, fields)),
--- a/valeturn/store/journal.py
+++ b/valeturn/result_store/disk_jobs.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from . import files as names
+from . import directory as names
 from . import records, snapshot
 
 
--- a/valeturn/store/index.py
+++ b/valeturn/result_store/index.py
@@ -10,7 +10,7 @@
 import struct
 from typing import NamedTuple
 
-from .bounds import LOAD
+from .limits import LOAD
 
 SHARDS = 1024  # a doubling at a million keys moves a thousand rows: 1 to 2 ms
 LEAST = 8  # rows of a new shard: all shards of a nearly empty store take 0.3 MB
--- a/valeturn/store/opening.py
+++ b/valeturn/result_store/opening.py
@@ -6,7 +6,7 @@
 
 import blake3
 
-from . import files as names
+from . import directory as names
 from . import recovery, snapshot
 from .recovery import Refused
 
--- a/valeturn/store/records.py
+++ b/valeturn/result_store/records.py
@@ -17,7 +17,7 @@
 import google_crc32c
 import msgpack
 
-from .clock import Moment, Stamp
+from .window_clock import Moment, Stamp
 
 MAJOR, MINOR = 1, 0
 
--- a/valeturn/store/recovery.py
+++ b/valeturn/result_store/recovery.py
@@ -10,8 +10,8 @@
 
 from typing import NamedTuple
 
-from . import clock, records
-from .entry import FAILED, KEPT, MAYBE
+from . import records, window_clock
+from .entry_states import FAILED, KEPT, MAYBE
 from .index import Index
 
 WHOLE, TORN, DAMAGED = "whole", "torn", "damaged"
@@ -165,7 +165,7 @@
             [(numbers[-1], found.segments[numbers[-1]].size)] if numbers[-1] in found.segments else []
         )
     if found.damaged:
-        at = clock.resume(found.stamp, moment)
+        at = window_clock.resume(found.stamp, moment)
         found.unsure = max(found.unsure, at + found.longest)
         found.note(
             "damage", segments=",".join(f"{n}:{why}" for n, why in found.damaged), longest=found.longest
@@ -246,7 +246,7 @@
         found.unsettled.pop(fields[0], None)
     elif kind == records.STAMP:
         if found.stamp is None or fields[0] >= found.stamp.at:
-            found.stamp = clock.Stamp(fields[0], clock.Moment(fields[1], fields[2], boot))
+            found.stamp = window_clock.Stamp(fields[0], window_clock.Moment(fields[1], fields[2], boot))
     elif kind == records.UNSURE:
         found.unsure = max(found.unsure, fields[0])
     elif kind != records.HEAD:
--- a/valeturn/store/snapshot.py
+++ b/valeturn/result_store/snapshot.py
@@ -17,9 +17,9 @@
 import msgpack
 
 from . import records
-from .clock import Moment, Stamp
 from .index import Index
 from .recovery import check_version
+from .window_clock import Moment, Stamp
 
 KIND = b"VTSNAP"
 MAGIC = records.preamble(KIND, records.MAJOR, records.MINOR)
--- a/valeturn/store/snapshots.py
+++ b/valeturn/result_store/snapshots.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from . import records, snapshot, upkeep
+from . import compaction_policy, records, snapshot
 from .opening import check_of
 
 SHARDS_A_STEP = 32  # copied in one sweep: 2 MB of a million keys, under a millisecond
@@ -97,7 +97,7 @@
             return True
         if self.marks is None:
             if (
-                kept.health == upkeep.WELL and kept.waiting() <= kept.bounds.waiting // 2
+                kept.health == compaction_policy.WELL and kept.waiting() <= kept.bounds.waiting // 2
             ):  # new work goes first
                 self._copy_some()
             return True
@@ -135,7 +135,7 @@
             return  # it stands further on, or is over
         if live is not None and live.queued:
             return  # a newer one is on its way, and is waited for like the copies
-        if row.until + upkeep.UNREAD > kept.clock.now():
+        if row.until + compaction_policy.UNREAD > kept.clock.now():
             kept.copy(row, record)
             self.copied += row.size
 
@@ -156,6 +156,6 @@
 
     def _end(self):
         kept = self.kept
-        if self.copied > upkeep.FUTILE * self.size:
-            kept.rest_until = kept.clock.now() + upkeep.REST
+        if self.copied > compaction_policy.FUTILE * self.size:
+            kept.rest_until = kept.clock.now() + compaction_policy.REST
         kept.dropped(self.number)
--- a/valeturn/store/kept.py
+++ b/valeturn/result_store/store.py
@@ -10,12 +10,12 @@
 
 import blake3
 
-from . import entry, records, upkeep
-from .bounds import INTENT, RECORD
-from .entry import ABSENT, KEPT, MAYBE, NOTED, SENT
+from . import compaction_policy, entry_states, records
+from .entry_states import ABSENT, KEPT, MAYBE, NOTED, SENT
+from .limits import INTENT, RECORD
 from .log import Log, Queued
 from .recovery import apply
-from .wheel import Wheel
+from .timing_wheel import Wheel
 
 EXPIRED_A_SWEEP = 2000  # keys forgotten in one sweep at the most: 4 ms, ten times a second
 REBUILT_A_SWEEP = 4  # shards whose rows go to the wheel after a start: some thousand keys, 2 ms
@@ -61,18 +61,18 @@
         reached = self.clock.now() - waited
         live = self.live.get(digest)
         if live is not None and live.state != ABSENT:
-            return Meets(entry.MEETS[live.state] if live.until > reached else "run", digest, live)
+            return Meets(entry_states.MEETS[live.state] if live.until > reached else "run", digest, live)
         row = self.index.get(digest)
         if row is None or row.until <= reached:
             return Meets("run", digest)
-        return Meets(entry.MEETS[row.state], digest)
+        return Meets(entry_states.MEETS[row.state], digest)
 
     def room_in(self):
         """Seconds until one more key may be kept; 0 now."""
         now, b = self.clock.now(), self.bounds
         earliest = self.wheel.earliest()
-        return upkeep.room_in(
-            upkeep.Room(
+        return compaction_policy.room_in(
+            compaction_policy.Room(
                 keys=self.index.count + len(self.live) + len(self.promised),
                 most_keys=b.keys,
                 used=self.used(),
@@ -81,7 +81,7 @@
                 waiting=self.waiting(),
                 most_waiting=b.waiting,
                 sure_in=self.found.unsure - now,
-                well_in=0.0 if self.health == upkeep.WELL else max(0.01, self.retry_at - now),
+                well_in=0.0 if self.health == compaction_policy.WELL else max(0.01, self.retry_at - now),
                 earliest_in=0.0 if earliest is None else max(0.0, earliest - now),
             )
         )
@@ -96,7 +96,7 @@
     # ---- the table's inputs
 
     def move(self, live, given):
-        found = entry.move(live.state, given)
+        found = entry_states.move(live.state, given)
         if found is None:
             self.count("store.no_move")
             return
@@ -109,7 +109,7 @@
         self.release(number)
         until = math.ceil(self.clock.now() + lasting)
         live = self.live[digest] = Live(number, digest, until, call, workload)
-        self.move(live, entry.NOTE)
+        self.move(live, entry_states.NOTE)
 
     def over(self, number, digest, given, body=None):
         """The run of a noted one is over: DONE with its result, ENDED without, or UNBEGUN. One whose window
@@ -117,10 +117,10 @@
         live = self.live.get(digest)
         if live is None or live.number != number:
             return
-        if given == entry.DONE and self.waiting() + len(body) > self.bounds.waiting:
+        if given == entry_states.DONE and self.waiting() + len(body) > self.bounds.waiting:
             self.count("store.results_lost")  # the disk is behind: known as ended, without its result
-            given = entry.ENDED
-        live.body = body if given == entry.DONE else None
+            given = entry_states.ENDED
+        live.body = body if given == entry_states.DONE else None
         self.move(live, given)
 
     def told(self, call, given, body=None):
@@ -193,7 +193,7 @@
         live.queued -= 1
         if isinstance(record, records.Intent):
             if live.state == NOTED and live.queued == 0:
-                self.move(live, entry.SYNCED)
+                self.move(live, entry_states.SYNCED)
         if live.queued == 0 and live.state not in (NOTED, SENT):
             self.forget(live)
 
@@ -209,7 +209,7 @@
             if isinstance(one.record, records.Intent) and live is not None:
                 live.queued -= 1
                 if live.state == NOTED:
-                    self.move(live, entry.UNSYNCED)
+                    self.move(live, entry_states.UNSYNCED)
                 if live.queued == 0 and live.state == ABSENT:
                     self.forget(live)
                     # It may be on the disk whole: said to be unsent once the disk takes writes again.
@@ -239,7 +239,7 @@
     def upkeep(self):
         """Ten times a second: forgets what is over, tries a disk that failed, goes on with the log's work."""
         now = self.clock.now()
-        for digest in self.wheel.due(now - upkeep.UNREAD, EXPIRED_A_SWEEP):
+        for digest in self.wheel.due(now - compaction_policy.UNREAD, EXPIRED_A_SWEEP):
             self._expire(digest, now)
         for _ in range(REBUILT_A_SWEEP):
             if self.rebuilt < len(self.index.shards):
@@ -252,9 +252,9 @@
         row = self.index.get(digest)
         if row is None or digest in self.live:
             return
-        if row.until + upkeep.UNREAD > now:  # its window grew
+        if row.until + compaction_policy.UNREAD > now:  # its window grew
             self.wheel.add(digest, row.until)
-        elif entry.move(row.state, entry.EXPIRED) is not None:
+        elif entry_states.move(row.state, entry_states.EXPIRED) is not None:
             self.index.remove(digest)
             self.found.unsettled.pop(digest, None)
             self.count("store.expired")
--- a/valeturn/program/commands.py
+++ b/valeturn/server/commands.py
@@ -106,7 +106,7 @@
 import sys
 
 from .. import __version__
-from ..transport import held
+from ..transport import early_signals
 from . import configuration, logs
 
 PACKAGE = __name__.partition(".")[0]
@@ -114,8 +114,8 @@
 # first, have words like the others'.
 COMMANDS = {
     "lab": "lab.commands",
-    "fleet": "fleet.commands",
-    "store": "store.commands",
+    "fleet": "cluster.commands",
+    "store": "result_store.commands",
     "status": "control.commands",
     "metrics": "control.commands",
     "top": "control.commands",
@@ -129,18 +129,18 @@
     """What the operator's file says, or None where there is none; without one none of its code is loaded."""
     if path is None:
         return None
-    from ..options import sections
-    from . import parts
+    from ..operator_config import loader
+    from . import components
 
     try:
-        return sections.load_apart(path, c, parts.options_modules, receive or sections.receive)
-    except sections.Unusable as unusable:
+        return loader.load_apart(path, c, components.options_modules, receive or loader.receive)
+    except loader.Unusable as unusable:
         raise configuration.Wrong(str(unusable)) from None
 
 
 def serve(path=None, verbose=False, settings=None, seams=None):
     """seams: a laboratory's."""
-    held.hold()
+    early_signals.hold()
     from .server import Ended, Server
 
     c = configuration.load(path=path)
@@ -155,10 +155,10 @@
         code = server.serve()
         if server.again:
             os.execv(sys.executable, sys.orig_argv)
-        held.ignore()
+        early_signals.ignore()
         return code
     except Ended:
-        held.ignore()
+        early_signals.ignore()
         return 0
     except OSError as error:  # the address to listen on is taken or not this machine's
         print(f"valeturn: listen: {error}", file=sys.stderr)
@@ -202,6 +202,6 @@
     for word, module in COMMANDS.items():
         if given[word]:
             if word == "fleet" and any(given[turn] for turn in TURNS):
-                module = "turns.commands"
+                module = "maintenance.commands"
             return importlib.import_module(f"{PACKAGE}.{module}").run(given)
     return serve(given["--config"], given["--verbose"], given["--settings"])
--- a/valeturn/program/parts/__init__.py
+++ b/valeturn/server/components/__init__.py
@@ -22,13 +22,15 @@
 
 # In the order in which they are opened, asked and closed. Control comes last: it answers for the others.
 TABLE = (
-    Declared("store", "store.options", "program.parts.store"),
-    Declared("level", "levels.options", "program.parts.levels"),
-    Declared("turns", "turns.options", "program.parts.turns"),  # drained before the fleet: it needs it
-    Declared("fleet", "fleet.options", "program.parts.fleet"),
-    Declared("duty", "fleet.dutyoptions", "program.parts.duties"),
-    Declared("metrics", "metrics.options", "program.parts.metrics"),
-    Declared("control", "control.options", "program.parts.control"),
+    Declared("store", "result_store.options", "server.components.result_store"),
+    Declared("level", "degradation.options", "server.components.degradation"),
+    Declared(
+        "turns", "maintenance.options", "server.components.maintenance"
+    ),  # drained before the fleet: it needs it
+    Declared("fleet", "cluster.options", "server.components.cluster"),
+    Declared("duty", "cluster.task_options", "server.components.singleton_tasks"),
+    Declared("metrics", "metrics.options", "server.components.metrics"),
+    Declared("control", "control.options", "server.components.control"),
 )
 
 
--- a/valeturn/program/parts/fleet.py
+++ b/valeturn/server/components/cluster.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from ...cluster.node import Fleet
+from ...cluster.vote_file import Refused
 from ...control import requests
-from ...fleet.running import Fleet
-from ...fleet.votes import Refused
 from ..configuration import Wrong
 from . import Part as Base
 
--- a/valeturn/program/parts/levels.py
+++ b/valeturn/server/components/degradation.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from ...control import requests
-from ...levels.options import make
-from ...routing.messages import Told
-from ...routing.reduced import Reducing
+from ...degradation.options import make
+from ...dispatch.degradation_monitor import Reducing
+from ...dispatch.messages import Told
 from . import Part as Base
 
 
--- a/valeturn/program/parts/turns.py
+++ b/valeturn/server/components/maintenance.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from ...control import requests
-from ...levels.decision import CALM
-from ...turns.running import Measured, Turns
+from ...degradation.controller import CALM
+from ...maintenance.coordinator import Measured, Turns
 from . import Part as Base
 
 TURNED_BACK = 0.2  # of what came since the last look, that is strain
--- a/valeturn/program/parts/store.py
+++ b/valeturn/server/components/result_store.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from ...routing.messages import DiskNews
-from ...store import bounds, clock
-from ...store.files import Files
-from ...store.kept import Kept
-from ...store.recovery import Refused
-from ...transport.helper import Helper
+from ...dispatch.messages import DiskNews
+from ...result_store import limits, window_clock
+from ...result_store.directory import Files
+from ...result_store.recovery import Refused
+from ...result_store.store import Kept
 from ...transport.streams import Stream
+from ...transport.worker_thread import Helper
 from ..configuration import Wrong
 from . import Part as Base
 
@@ -19,18 +19,18 @@
     def __init__(self, server, built):
         super().__init__(server, built)
         files, names = server.seams.files or Files(built.folder), server.configuration.names
-        boot_id = clock.boot_id()
-        limits = bounds.derive(built.disk, built.memory, built.segment)
+        boot_id = window_clock.boot_id()
+        derived = limits.derive(built.disk, built.memory, built.segment)
         longest = max([w.window for w in names.settings.workloads], default=0.0) + 2 * names.settings.tick
         try:
             if not files.prepare():
                 raise Wrong(f"store: {built.folder}: another process has it")
             self.kept = Kept(
                 built,
-                limits,
+                derived,
                 files,
                 Helper(),
-                lambda: clock.read(boot_id),
+                lambda: window_clock.read(boot_id),
                 longest,
                 server.counters.add,
                 server.log,
--- a/valeturn/program/parts/duties.py
+++ b/valeturn/server/components/singleton_tasks.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ...routing.sharing import Sharing
+from ...dispatch.call_quota import Sharing
 from . import Part as Base
 
 
--- a/valeturn/program/configuration.py
+++ b/valeturn/server/configuration.py
@@ -6,7 +6,7 @@
 import os
 from typing import NamedTuple
 
-from ..settings import Names
+from ..admission.settings import Names
 
 
 class Wrong(Exception):
--- a/valeturn/program/server.py
+++ b/valeturn/server/server.py
@@ -8,24 +8,24 @@
 import time
 
 from .. import __version__
-from ..routing.core import Core, Parties, Telling
-from ..routing.executor import ExecutorLink
-from ..routing.gateways import CLOSING, Gateways
-from ..routing.ledger import Ledger
-from ..routing.messages import Leaving, Stopping
-from ..routing.naming import Reporter
-from ..routing.pace import Pace
-from ..rules import Rules
-from ..transport import held
-from ..transport.chance import Chance
+from ..admission.controller import Rules
+from ..dispatch.dispatcher import Core, Parties, Telling
+from ..dispatch.executor_client import ExecutorLink
+from ..dispatch.gateway_server import CLOSING, Gateways
+from ..dispatch.ledger_client import Ledger
+from ..dispatch.messages import Leaving, Stopping
+from ..dispatch.registry_client import Reporter
+from ..dispatch.turn_pacing import Pace
+from ..transport import early_signals
 from ..transport.listener import Listener, listening
 from ..transport.scheduler import Scheduler
+from ..transport.seeded_random import Chance
 from ..transport.signals import Signals
 from ..transport.streams import Stream
-from .bounds import derive
 from .configuration import MOVABLE, Configuration, Wrong
 from .counters import Counters
-from .seams import Seams
+from .resource_limits import derive
+from .test_overrides import Seams
 
 GARBAGE = 5000  # objects between looks for cycles, which few things here leave: some hundred KB at the most
 PRINT = 10.0  # s between prints of the counters: a server that is killed outright leaves its last ones
@@ -89,9 +89,9 @@
         """section -> its part; without an operator's file none of their code is loaded."""
         if self.options is None:
             return {}
-        from . import parts
+        from . import components
 
-        return parts.open_all(self, self.options)
+        return components.open_all(self, self.options)
 
     def make_rules(self, cold, age):
         """A server is cold if its executor was just started cold or its settings say so; warmth counts from
@@ -145,7 +145,7 @@
     def wait_for_address(self, seconds):
         """A process that has just gone may still hold it. A notice to leave ends the wait and the server:
         nobody was ever let in."""
-        if held.leaving():
+        if early_signals.leaving():
             raise Ended
         self.log("address_in_use", {"address": "%s:%d" % self.configuration.listen})
         time.sleep(seconds)
--- a/valeturn/wirehost/host.py
+++ b/valeturn/simulator_adapter/host.py
@@ -5,7 +5,7 @@
 import json
 import sys
 
-from ..rules import Rules
+from ..admission.controller import Rules
 from .wire import ACTIONS, EVENTS, Decoder
 
 WRITE = json.JSONEncoder(separators=(",", ":")).encode  # made once: json.dumps would make one a message
--- a/valeturn/wirehost/wire.py
+++ b/valeturn/simulator_adapter/wire.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from .. import interface as it
-from ..settings import Names
+from ..admission import interface as it
+from ..admission.settings import Names
 
 OUTCOMES = {
     "done": it.Outcome.DONE,
--- a/valeturn/transport/chance.py
+++ b/valeturn/transport/backoff.py
@@ -1,19 +1,8 @@
-"""Chance and back-off for connections that must be made again."""
+"""Pauses between attempts that grow and are spread by chance."""
 
 from __future__ import annotations
 
 
-class Chance:
-    """A linear congruential generator (Knuth's MMIX constants), of which the high bits are used."""
-
-    def __init__(self, seed):
-        self.state = seed & (2**64 - 1)
-
-    def share(self):
-        self.state = (self.state * 6364136223846793005 + 1442695040888963407) & (2**64 - 1)
-        return (self.state >> 33) / 2**31
-
-
 class Backoff:
     """Waits that double up to a most, each between a half and the whole, so that servers do not keep step."""
 
--- a/valeturn/transport/signals.py
+++ b/valeturn/transport/signals.py
@@ -6,7 +6,7 @@
 import signal
 from collections import deque
 
-from .held import HELD
+from .early_signals import HELD
 from .scheduler import READ
 
 
