--- a/tests/admission/test_any_settings.py
+++ b/tests/admission/test_any_settings.py
@@ -142,7 +142,7 @@
     ],
 )
 def test_what_they_do_not_ends_in_one_line_that_names_the_key(path, value, field):
-    with pytest.raises(configuration.Wrong) as wrong:
+    with pytest.raises(configuration.ConfigurationError) as wrong:
         configuration.decode(changed(path, value))
     assert field in str(wrong.value) and "\n" not in str(wrong.value)
 
@@ -230,7 +230,7 @@
             at[int(last)] = value
     try:
         c = configuration.decode(raw)
-    except configuration.Wrong as wrong:
+    except configuration.ConfigurationError as wrong:
         assert "\n" not in str(wrong)
         return
     day(c.names)
@@ -238,7 +238,7 @@
 
 def test_no_limit_on_descriptors_leaves_the_configured_one(monkeypatch):
     monkeypatch.setattr(resource, "getrlimit", lambda _: (resource.RLIM_INFINITY,) * 2)
-    assert Server(configuration.decode(CONFIG), lambda *_, **__: None).bounds.connections > 700
+    assert Server(configuration.decode(CONFIG), lambda *_, **__: None).limits.connections > 700
 
 
 def test_a_cold_server_with_one_core_still_runs_one_at_a_time():
--- a/tests/lab/test_fleet_trial.py
+++ b/tests/lab/test_fleet_trial.py
@@ -70,7 +70,7 @@
             "PYTHONDONTWRITEBYTECODE": "1",
         },
     )
-    while "event=listening" not in (line := run.stderr.readline()):
+    while "event=server_listening" not in (line := run.stderr.readline()):
         assert line, run.communicate()
     pid_is_the_shell_s = os.readlink(f"/proc/{run.pid}/exe") == os.path.realpath(sys.executable)
     with socket.create_connection((own, 4100), timeout=10):
@@ -309,4 +309,4 @@
         listener.shutdown(socket.SHUT_RDWR)
         listener.close()
     assert {code for code, _ in got.values()} == {1} and len(got) == 11
-    assert "moved=executor,naming,ledger" in log and "owed=0 took" in log and "clean=True" in log
+    assert "moved=executor,naming,ledger" in log and "unanswered=0 took" in log and "clean=True" in log
--- a/tests/lab/test_floods.py
+++ b/tests/lab/test_floods.py
@@ -22,8 +22,8 @@
     "fault, found",
     [
         (
-            """from valeturn.server.server import Server
-Server.drain = lambda self: self.scheduler.stop()""",
+            """from valeturn.server.shutdown import GracefulShutdown
+GracefulShutdown.drain = lambda self: self._server.scheduler.stop()""",
             "lost",
         ),
         (
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -85,7 +85,7 @@
         lane.settings.write_text(lane.settings.read_text().replace("8 MB", "9 MB"))
         lane.process.send_signal(signal.SIGHUP)
         for _ in range(200):
-            if b"wants_restart=settings" in (tmp_path / "log").read_bytes():
+            if b"need_restart=settings" in (tmp_path / "log").read_bytes():
                 break
             await asyncio.sleep(0.02)
         lane.process.send_signal(signal.SIGTERM)
@@ -94,7 +94,7 @@
             server.close()
 
     asyncio.run(play())
-    assert b"wants_restart=settings" in (tmp_path / "log").read_bytes()
+    assert b"need_restart=settings" in (tmp_path / "log").read_bytes()
     assert b"event=store_closed" in (tmp_path / "log").read_bytes()
 
 
@@ -161,7 +161,7 @@
             await asyncio.sleep(0.05)
         lane.process.send_signal(signal.SIGUSR1)
         await wait_for(b"compactions=")
-        assert (tmp_path / "log").read_bytes().count(b"event=reloaded") >= 5
+        assert (tmp_path / "log").read_bytes().count(b"event=reload_applied") >= 5
         await lane.kill()
         await lane.start()
         for _ in range(400):
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -158,7 +158,7 @@
         time.sleep(0.05)
         pipe.write(json.dumps(at.raw))
     code, log = ended(run)
-    assert code == 0 and "event=leaving" in log and "clean=True" in log
+    assert code == 0 and "event=shutdown_started" in log and "clean=True" in log
 
 
 def test_a_notice_while_the_program_is_loaded_ends_it_well(installed, tmp_path):
@@ -177,7 +177,7 @@
 """)
     run = at.serve(until=None, PYTHONPATH=str(tmp_path))
     code, log = ended(run)
-    assert code == 0 and "event=leaving" in log and "clean=True" in log
+    assert code == 0 and "event=shutdown_started" in log and "clean=True" in log
 
 
 def test_a_notice_while_the_interpreter_takes_itself_apart_changes_nothing(installed, tmp_path):
@@ -196,7 +196,7 @@
 
 last = Last()
 """)
-    run = at.serve(until="event=listening", PYTHONPATH=str(tmp_path))
+    run = at.serve(until="event=server_listening", PYTHONPATH=str(tmp_path))
     run.send_signal(signal.SIGTERM)
     code, log = ended(run)
     assert code == 0 and "event=last" in log
@@ -204,7 +204,7 @@
 
 def test_a_notice_twice_and_before_the_executor_is_there_turns_back_and_ends(installed):
     at = installed(parties=False)
-    run = at.serve(until="event=listening")
+    run = at.serve(until="event=server_listening")
     with at.connect() as sock:
         run.send_signal(signal.SIGTERM)
         sock.sendall(submit(1, "file") + frame(1, 5, b"\0"))
@@ -213,7 +213,7 @@
         run.send_signal(signal.SIGHUP)
         assert [one for one in to_the_end(sock) if one[0] == 8] == []
     code, log = ended(run)
-    assert code == 0 and log.count("event=leaving") == 1
+    assert code == 0 and log.count("event=shutdown_started") == 1
 
 
 def test_what_is_sent_up_to_the_end_is_answered_once_or_was_never_taken(installed):
@@ -298,7 +298,7 @@
         assert answers(sock, 1)[0] == {30: (1, b"parcel 30 [about parcel 30]")}
         to_the_end(sock)
     code, log = ended(run)
-    assert code == 0 and "event=reload_refused" in log and "level=error" not in log
+    assert code == 0 and "event=reload_rejected" in log and "level=error" not in log
 
 
 # ---- in one process
@@ -311,9 +311,12 @@
 
 def test_a_notice_is_heard_while_a_file_is_read_beside():
     made, left = quiet(), []
-    made.reload = lambda: made.scheduler.sleep(5.0)
-    made.scheduler.spawn(lambda: (made.reload_apart(), made.leave()))  # signals are met one after the other
-    made.drain = lambda: (left.append(made.scheduler.clock() - made.came), made.scheduler.stop())
+    came = made.scheduler.clock()
+    made.reloader.reload = lambda: made.scheduler.sleep(5.0)
+    made.scheduler.spawn(
+        lambda: (made.reloader.request(), made.shutdown.begin())
+    )  # signals are met one after the other
+    made.shutdown.drain = lambda: (left.append(made.scheduler.clock() - came), made.scheduler.stop())
     made.scheduler.run()
     assert left and left[0] < 1.0
 
@@ -321,7 +324,7 @@
 def test_the_link_is_looked_at_also_while_the_module_asks_for_nothing():
     made, looks = quiet(), []
     made.link.check = lambda: looks.append(1)
-    made.scheduler.spawn(made.sweep)
+    made.scheduler.spawn(made.check_connections)
     made.scheduler.call_later(0.17, made.scheduler.stop)
     made.scheduler.run()
     assert len(looks) >= 2
@@ -334,10 +337,10 @@
         reads.append(1)
         made.scheduler.sleep(0.02)
 
-    made.reload = reload
+    made.reloader.reload = reload
     for _ in range(3):
-        made.scheduler.spawn(made.reload_apart)
-    made.scheduler.call_later(0.01, made.reload_apart)
+        made.scheduler.spawn(made.reloader.request)
+    made.scheduler.call_later(0.01, made.reloader.request)
     made.scheduler.call_later(0.3, made.scheduler.stop)
     made.scheduler.run()
     assert len(reads) == 2
@@ -361,8 +364,8 @@
 
 def test_a_fault_in_the_drain_still_ends_the_process_before_the_stop():
     made = quiet(stop_ms=400)
-    made.drain = lambda: 1 / 0
-    made.scheduler.spawn(made.leave)
+    made.shutdown.drain = lambda: 1 / 0
+    made.scheduler.spawn(made.shutdown.begin)
     began = time.monotonic()
     made.scheduler.run()
     assert time.monotonic() - began < 0.4
@@ -378,7 +381,7 @@
     )
     made.core.mailbox.push(msg.LinkUp(False, 9.0))
     made.core.mailbox.push(msg.Arrival(caller, asked))
-    made.scheduler.spawn(made.leave)
+    made.scheduler.spawn(made.shutdown.begin)
     made.scheduler.run()
     assert [code for _, code, _ in caller.answers] == [0] and not made.core.owed()
 
--- a/tests/server/test_server.py
+++ b/tests/server/test_server.py
@@ -15,7 +15,8 @@
 
 from valeturn.server import configuration, logs
 from valeturn.server.counters import Counters
-from valeturn.server.server import MARGIN, Server
+from valeturn.server.server import Server
+from valeturn.server.shutdown import MARGIN
 
 
 def test_the_example_is_good_and_the_environment_goes_first():
@@ -57,7 +58,7 @@
     ],
 )
 def test_a_wrong_configuration_is_told_in_one_line_that_names_the_field(path, value, field):
-    with pytest.raises(configuration.Wrong) as wrong:
+    with pytest.raises(configuration.ConfigurationError) as wrong:
         configuration.decode(changed(path, value))
     assert field in str(wrong.value) and "\n" not in str(wrong.value)
 
@@ -80,14 +81,14 @@
 def test_log_lines_are_key_value_and_quoted_where_needed():
     record = logging.makeLogRecord({"msg": "drained", "created": 12.3456, "levelname": "INFO"})
     record.fields = {"server": "n3", "text": 'a "b"\nc', "took": 0.25, "empty": ""}
-    assert logs.KeyValue().format(record) == (
+    assert logs.EventFormatter().format(record) == (
         'at=12.346 level=info event=drained server=n3 text="a \\"b\\"\\nc" took=0.25 empty='
     )
 
 
 def test_a_log_that_nobody_reads_holds_nothing_up():
     reads, writes = os.pipe()
-    handler = logs.NeverWaiting(writes)
+    handler = logs.NonBlockingHandler(writes)
     record = logging.makeLogRecord({"msg": "x" * 3000, "created": 1.0, "levelname": "INFO"})
     for _ in range(100):
         handler.emit(record)
@@ -108,8 +109,8 @@
             raise ValueError("says nothing")
 
     reads, writes = os.pipe()
-    handler = logs.NeverWaiting(writes)
-    handler.setFormatter(logs.KeyValue())
+    handler = logs.NonBlockingHandler(writes)
+    handler.setFormatter(logs.EventFormatter())
     record = logging.makeLogRecord({"msg": "x", "created": 1.0, "levelname": "INFO"})
     record.fields = {"odd": Odd()}
     handler.emit(record)
@@ -148,7 +149,7 @@
         while frame(3, 0) not in others:
             others.append(sock.recv(9) or pytest.fail("closed before the last word"))
     _, log = run.communicate(timeout=20)
-    assert run.returncode == 0 and "event=ended" in log and "clean=True" in log
+    assert run.returncode == 0 and "event=server_stopped" in log and "clean=True" in log
     assert "event=answered" in log and "call=000000000000000a workload=file kind=delivered" in log
     assert "group=out" in log and "delivered=3" in log and "errors" not in log and "level=error" not in log
     with pytest.raises(ConnectionRefusedError):
@@ -164,16 +165,15 @@
         run.send_signal(signal.SIGTERM)
         assert answers(sock, 1)[0] == {1: (9, b"")}
     _, log = run.communicate(timeout=20)
-    assert run.returncode == 0 and "event=drained" in log and "owed=0 took" in log
+    assert run.returncode == 0 and "event=server_drained" in log and "unanswered=0 took" in log
 
 
 def test_the_module_is_told_to_be_done_before_the_process_ends():
     made = Server(configuration.decode(changed("stop_ms", 2000)), lambda *_, **__: None)
     told, made.core.put = [], lambda message: told.append(message) or 1 / 0
-    made.leave_at = made.scheduler.clock()
-    made.stop_at = made.leave_at + 2.0
+    made.shutdown.begun_at = made.scheduler.clock()
     with pytest.raises(ZeroDivisionError):
-        made.drain()
+        made.shutdown.drain()
     assert told[0].left <= 2.0 - MARGIN
 
 
@@ -187,9 +187,9 @@
         while not lines or "group=process" not in lines[-1]:
             lines.append(run.stderr.readline())
         assert any("group=in" in line and "submissions=1" in line for line in lines)
-        (beliefs,) = [line for line in lines if "group=beliefs" in line]
+        (beliefs,) = [line for line in lines if "group=gauges" in line]
         assert "connections=1" in beliefs and "link_up=1" in beliefs and "owed=0" in beliefs
-        assert "cpu_ms_per_submission=" in lines[-1] and "lag_most_ms=" in lines[-1]
+        assert "cpu_ms_per_request=" in lines[-1] and "lag_longest_ms=" in lines[-1]
 
 
 def test_a_reload_moves_to_new_addresses_and_a_bad_file_changes_nothing(server, tmp_path):
@@ -206,7 +206,7 @@
         return lines[-1]
 
     with socket.create_connection(address, timeout=20) as sock:
-        assert "EDGE_CONFIG" in reload("{", "reload_refused")
+        assert "EDGE_CONFIG" in reload("{", "reload_rejected")
         sock.sendall(frame(1, 4, b"\0"))
         assert sock.recv(64) == frame(2, 4, b"\x01\x00"), "served on as before"
         own = raw["listen"].rpartition(":")[0]
@@ -221,8 +221,8 @@
         try:
             assert other.stdout.readline() == "ready\n"
             raw["limits"] = {**raw["limits"], "sockets": 600}
-            told = reload(json.dumps(raw), "reloaded")
-            assert "moved=executor,naming,ledger wants_restart=sockets" in told
+            told = reload(json.dumps(raw), "reload_applied")
+            assert "moved=executor,naming,ledger need_restart=sockets" in told
             toy.kill()
             sock.sendall(submit(2, "quote"))
             assert answers(sock, 1)[0] == {2: (1, b"parcel 2 [about parcel 2]")}
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -14,7 +14,13 @@
 from valeturn.dispatch.registry_client import Reporter
 from valeturn.protocol import executor as lines
 from valeturn.protocol.frames import FrameDecoder
-from valeturn.server.resource_limits import CONNECTION, OTHERS, PROCESS, SUBMISSION, derive
+from valeturn.server.resource_limits import (
+    CONNECTION_BYTES,
+    IDLE_PROCESS_MB,
+    REQUEST_BYTES,
+    RESERVED_SOCKETS,
+    derive,
+)
 from valeturn.transport.backoff import Backoff
 from valeturn.transport.listener import Listener
 from valeturn.transport.scheduler import Mailbox
@@ -636,9 +642,9 @@
 @pytest.mark.parametrize("sockets, memory_mb", [(384, 32), (384, 64), (512, 80), (1024, 192), (64, 24)])
 def test_all_bounds_fit_the_process_s_limits_together(sockets, memory_mb):
     b = derive(sockets, memory_mb)
-    assert b.connections + b.calls + OTHERS <= sockets and min(b) > 0
+    assert b.connections + b.calls + RESERVED_SOCKETS <= sockets and min(b) > 0
     assert (
-        b.connections * CONNECTION + b.submissions * SUBMISSION + b.unsent + b.results
-        <= max(4, memory_mb - PROCESS) << 20
+        b.connections * CONNECTION_BYTES + b.submissions * REQUEST_BYTES + b.unsent + b.results
+        <= max(4, memory_mb - IDLE_PROCESS_MB) << 20
     )
     assert sockets < 384 or b.connections >= sockets // 2, "gateways may take half"
--- a/valeturn/lab/fault_injection/member.py
+++ b/valeturn/lab/fault_injection/member.py
@@ -17,7 +17,7 @@
 from ...cluster import node, vote_file
 from ...server.commands import serve
 from ...server.configuration import Wrong
-from ...server.test_overrides import Seams
+from ...server.test_overrides import Overrides
 from ...transport.streams import connect
 
 CLOCK = struct.Struct("<ddd")  # rate, own time and true time at which it holds
@@ -101,7 +101,7 @@
     wall = told["wall"]  # s that this server's wall clock is off
     fleet = node.Seams(clock.now, clock.to_boot, dial, Filling, lambda: time.time() + wall)
     try:
-        return serve(config, settings=settings, seams=Seams(fleet=fleet))
+        return serve(config, settings=settings, overrides=Overrides(fleet=fleet))
     except Wrong as wrong:
         print(f"valeturn: {wrong}", file=sys.stderr)
         return 2
--- a/valeturn/lab/fault_injection/turns.py
+++ b/valeturn/lab/fault_injection/turns.py
@@ -49,7 +49,7 @@
         for at, event, rest in events(server):
             if event == "turn_out":
                 began = at, int(rest.split("fence=")[1].split()[0])
-            elif event == "listening" and began is not None:
+            elif event == "server_listening" and began is not None:
                 out.append((name, began[0], at, began[1]))
                 began = None
         if began is not None:
--- a/valeturn/lab/victim.py
+++ b/valeturn/lab/victim.py
@@ -14,7 +14,7 @@
 
 from ..result_store.directory import Files
 from ..server.commands import serve
-from ..server.test_overrides import Seams
+from ..server.test_overrides import Overrides
 
 
 class Deadly(Files):
@@ -68,7 +68,7 @@
         for line in open(settings, encoding="utf-8")
         if line.startswith("folder")
     )
-    return serve(config, settings=settings, seams=Seams(files=Deadly(folder, point)))
+    return serve(config, settings=settings, overrides=Overrides(files=Deadly(folder, point)))
 
 
 if __name__ == "__main__":
--- a/valeturn/server/commands.py
+++ b/valeturn/server/commands.py
@@ -1,117 +1,31 @@
-"""valeturn: admission and scheduling for servers behind balancers that cannot be changed.
-
-Usage:
-  valeturn
-  valeturn serve [--config FILE] [--settings FILE] [--verbose]
-  valeturn check [FILE] [--settings FILE]
-  valeturn store (inspect | verify | compact) DIR
-  valeturn status SOCKET... [--json]
-  valeturn metrics SOCKET
-  valeturn top SOCKET...
-  valeturn level hold NAME --for TIME SOCKET...
-  valeturn level free SOCKET...
-  valeturn fleet status SOCKET... [--json]
-  valeturn fleet hand-over [--to NAME] SOCKET
-  valeturn fleet (admit | dismiss) NAME SOCKET
-  valeturn fleet leave SOCKET
-  valeturn fleet out (NAMES | --zone ZONE | --all) --for TEXT [--work TIME] [--urgent] [--wait TIME] SOCKET
-  valeturn fleet back NAMES SOCKET
-  valeturn fleet turns SOCKET [--json]
-  valeturn fleet (hold | go-on) SOCKET
-  valeturn fleet revive [--i-know] SOCKET
-  valeturn fleet fenced-replace FILE [--fence N]
-  valeturn lab restarts [--kills N] [--seed S] [--lanes L] [--keep DIR]
-  valeturn lab store [--keys N] [--folder DIR]
-  valeturn lab levels [--shape NAME] [--minutes M] [--servers N] [--seed S] [--seeds N] [--report DIR]
-                      [--real] [--seconds T]
-  valeturn lab fleet-days [--day NAMES] [--servers N] [--gateways G] [--seconds T] [--seed S] [--seeds N]
-                          [--against POLICIES]
-  valeturn lab owner [--virtual | --measure] [--servers N] [--faults N] [--seed S] [--seeds N]
-                     [--no-fences] [--keep DIR]
-  valeturn lab turns [--virtual] [--servers N] [--faults N] [--seed S] [--seeds N] [--keep DIR]
-  valeturn lab shares [--servers N] [--seed S] [--seeds N]
-  valeturn lab members [--servers N] [--loss S] [--slow S] [--minutes M] [--seed S]
-  valeturn version
-  valeturn --help
-
-Commands:
-  serve      Serve until SIGTERM, which drains. The same as no command. SIGUSR1 prints the counters.
-             SIGHUP takes new addresses of executor, ledger and name service from the file.
-  check      Read and check a configuration, and say in one line what is wrong with it; with --settings the
-             operator's file too, with a line for each thing that is wrong.
-  store      Of a folder of kept results: what is in it; whether all of it is whole; write it anew without
-             what is over. The server must not be running on it for the last.
-  status     Of running servers, by the control sockets that their operator's files name: level and why, work,
-             answers. `metrics`: the same as Prometheus's text, where [metrics] is on. `level hold` holds a
-             level by hand for a time, logged; `level free` ends that.
-  fleet      Of servers that talk to each other: who is there and who owns what; the owner hands over, takes a
-             voter in or votes one out; a server goes out of the fleet and serves on; one that is left of a
-             majority lost for good goes on alone. `fenced-replace` replaces a file with standard input unless
-             a higher number was there: exit code 3 then.
-  lab        The laboratory: `restarts` kills and restarts a server on loopback and counts effects; `store`
-             measures the store beside plain sqlite3; `levels` plays a load in virtual time, with levels and
-             without; `fleet-days` plays the days that hurt a whole fleet, in virtual time;
-             `owner` lets servers elect one that acts, under a storm of faults; `members` lets so many find
-             and lose each other; both in virtual time.
-  version    Print the version.
-
-Options:
-  --config FILE    The configuration; else the variable EDGE_CONFIG names it.
-  --settings FILE  The operator's own file (deploy/valeturn.ini has all it may hold).
-  --verbose        Log each answer with its call, workload, kind and time.
-  --to NAME        The voter that is to be the next owner.
-  --i-know         No server of the lost majority will come back with what it knew.
-  --fence N        The number under which it is done; else VALETURN_FENCE.
-  --no-fences      What the duty touches compares no numbers: to see that the storm does harm then.
-  --json           The whole status, for programs.
-  --for TIME       How long a level is held, such as 5min: a day at the most; of turns: what for.
-  --zone ZONE      All servers of it that are there.
-  --all            All servers that are there.
-  --work TIME      That the work may take; else what [turns] says.
-  --urgent         Before those that are not, within a bound.
-  --wait TIME      Ends once all of them are empty (0), or it was refused (3), or that time is over (4).
-  --kills N        How often the server is killed [default: 50].
-  --seed S         For all chance [default: 1].
-  --lanes L        Servers killed side by side, each with parties of its own [default: 4].
-  --shape NAME     Of load: steady step sine slow-sine mild-sine wild-sine burst
-                   slow failing lost lost-tight [default: sine].
-  --minutes M      Of virtual time [default: 10].
-  --servers N      Emulated servers [default: 20].
-  --day NAMES      all, or of calm roll herd zone split join, with commas [default: all].
-  --gateways G     Emulated gateways [default: 10].
-  --seconds T      Of virtual time; of real time with --real [default: 40].
-  --virtual        In virtual time; more than nine servers are whole ones, of which nine vote.
-  --measure        What a fleet costs, and how long it is without an owner.
-  --faults N       How many faults [default: 100].
-  --loss S         Share of messages between servers that never come [default: 0].
-  --slow S         Share of servers that answer late [default: 0].
-  --real           Real servers on loopback, beside the emulator with the same load.
-  --against POLICIES  Played on the same demand: pool, or a file with an earlier module; with commas.
-  --seeds N        How many seeds, from --seed on [default: 1].
-  --report DIR     Write an HTML page with plots there (pip install -r requirements-lab.txt).
-  --keep DIR       Keep the logs and folders there.
-  --keys N         Keys to store [default: 100000].
-  --folder DIR     Where to measure; else a temporary one.
-  -h --help        Show this.
-
-EDGE_NAME and EDGE_LISTEN, where set, go before the configuration's name and listen.
-Exit codes: 0 all well, 1 failed while serving, or damage or a broken rule was found, 2 the configuration, the
-operator's file or the command line is wrong, or another process has the store.
-"""
+"""Reads the command line and carries out what it asks for: serve, check, or another package's command."""
 
 from __future__ import annotations
 
 import importlib
 import os
 import sys
+from collections.abc import Callable, Mapping, Sequence
+from typing import TYPE_CHECKING, Any
 
 from .. import __version__
 from ..transport import early_signals
 from . import configuration, logs
+from .configuration import Configuration, ConfigurationError, OperatorFileError
+from .usage import USAGE
+
+if TYPE_CHECKING:
+    import socket
+
+    from ..operator_config.schema import Options
+    from .test_overrides import Overrides
+
+EXIT_OK = 0
+EXIT_UNUSABLE = 2  # the configuration, the operator's file or the command line is wrong
 
 PACKAGE = __name__.partition(".")[0]
-# First word -> the module that carries it out, with run(given) for docopt's words. lab and fleet, which come
-# first, have words like the others'.
+# First word of the command line -> the module that carries it out, with run(arguments) for docopt's
+# arguments. lab and fleet come first, as words behind them are first words of others too.
 COMMANDS = {
     "lab": "lab.commands",
     "fleet": "cluster.commands",
@@ -121,87 +35,141 @@
     "top": "control.commands",
     "level": "control.commands",
 }
-
-TURNS = ("out", "back", "turns", "hold", "go-on")  # words behind `fleet` that are about machines going out
-
-
-def operators_file(path, c, receive=None):
-    """What the operator's file says, or None where there is none; without one none of its code is loaded."""
+# Words behind `fleet` that are about maintenance of servers.
+MAINTENANCE_WORDS = ("out", "back", "turns", "hold", "go-on")
+MAINTENANCE_COMMANDS = "maintenance.commands"
+
+
+def load_operator_options(
+    path: str | None,
+    loaded: Configuration,
+    receive: Callable[[socket.socket], bytes] | None = None,
+) -> Options | None:
+    """Read the operator's file, or return None where none is named; then none of its code is loaded.
+
+    Args:
+        path: The operator's file.
+        loaded: The configuration that it has to fit.
+        receive: Reads a socket up to its end; by default it blocks.
+
+    Raises:
+        OperatorFileError: The file cannot be used.
+    """
     if path is None:
         return None
     from ..operator_config import loader
     from . import components
 
     try:
-        return loader.load_apart(path, c, components.options_modules, receive or loader.receive)
-    except loader.Unusable as unusable:
-        raise configuration.Wrong(str(unusable)) from None
-
-
-def serve(path=None, verbose=False, settings=None, seams=None):
-    """seams: a laboratory's."""
+        receive = receive or loader.receive
+        options: Options = loader.load_apart(path, loaded, components.options_modules, receive)
+        return options
+    except loader.Unusable as error:
+        raise OperatorFileError(str(error)) from None
+
+
+def serve(
+    path: str | None = None,
+    verbose: bool = False,
+    settings: str | None = None,
+    overrides: Overrides | None = None,
+) -> int:
+    """Serve until a termination signal, and return the exit code.
+
+    Args:
+        path: The configuration file; None means the one that the environment names.
+        verbose: Whether each answer is logged.
+        settings: The operator's file, or None.
+        overrides: What the laboratory puts in place of clocks, files and connections.
+
+    Raises:
+        ConfigurationError: The configuration or the operator's file cannot be used.
+    """
     early_signals.hold()
-    from .server import Ended, Server
+    from .server import InterruptedStartError, Server
 
-    c = configuration.load(path=path)
-    options = operators_file(settings, c)
+    loaded = configuration.load(path=path)
+    options = load_operator_options(settings, loaded)
 
-    def again(receive):
+    def read_again(receive: Callable[[socket.socket], bytes]) -> tuple[Configuration, Options | None]:
         fresh = configuration.load(path=path)
-        return fresh, operators_file(settings, fresh, receive)
+        return fresh, load_operator_options(settings, fresh, receive)
 
     try:
-        server = Server(c, logs.set_up(c.name), verbose, again, options, seams)
+        server = Server(loaded, logs.set_up(loaded.name), verbose, read_again, options, overrides)
         code = server.serve()
-        if server.again:
+        if server.restart_requested:
             os.execv(sys.executable, sys.orig_argv)
         early_signals.ignore()
         return code
-    except Ended:
+    except InterruptedStartError:
         early_signals.ignore()
-        return 0
-    except OSError as error:  # the address to listen on is taken or not this machine's
+        return EXIT_OK
+    except OSError as error:  # the address to listen on is taken, or not one of this machine
         print(f"valeturn: listen: {error}", file=sys.stderr)
-    return 2
-
-
-def check(path=None, settings=None):
-    c = configuration.load(path=path)
-    options = operators_file(settings, c)
-    s = c.names.settings
-    print(f"good: name={c.name} workloads={len(s.workloads)} tenants={len(s.tenants)} cores={s.cores}")
+    return EXIT_UNUSABLE
+
+
+def check(path: str | None = None, settings: str | None = None) -> int:
+    """Read configuration and operator's file, and print in a line each what they hold.
+
+    Raises:
+        ConfigurationError: One of them cannot be used.
+    """
+    loaded = configuration.load(path=path)
+    options = load_operator_options(settings, loaded)
+    parsed = loaded.names.settings
+    print(
+        f"good: name={loaded.name} workloads={len(parsed.workloads)} tenants={len(parsed.tenants)} "
+        f"cores={parsed.cores}"
+    )
     if options is not None:
         print(f"good: {settings}: {' '.join(sorted(options.sections)) or 'nothing is switched on'}")
-    return 0
+    return EXIT_OK
 
 
-def main(words):
+def main(words: Sequence[str]) -> int:
+    """Carry out a command line and return the exit code; what is unusable is printed, a line each."""
     try:
-        return carry_out(words)
-    except configuration.Wrong as wrong:
-        for line in str(wrong).splitlines():
+        return dispatch_command(words)
+    except ConfigurationError as error:
+        for line in str(error).splitlines():
             print(f"valeturn: {line}", file=sys.stderr)
-        return 2
+        return EXIT_UNUSABLE
+
 
+def dispatch_command(words: Sequence[str]) -> int:
+    """Carry out a command line and return the exit code.
 
-def carry_out(words):
+    Raises:
+        ConfigurationError: The configuration or the operator's file cannot be used.
+    """
     if not words:  # the way a platform starts it: nothing is loaded that serving does not need
         return serve()
     from docopt import DocoptExit, docopt
 
     try:
-        given = docopt(__doc__, words)
+        arguments = docopt(USAGE, list(words))
     except DocoptExit as error:
         print(error, file=sys.stderr)
-        return 2
-    if given["version"]:
+        return EXIT_UNUSABLE
+    if arguments["version"]:
         print(f"valeturn {__version__}")
-        return 0
-    if given["check"]:
-        return check(given["FILE"], given["--settings"])
+        return EXIT_OK
+    if arguments["check"]:
+        return check(arguments["FILE"], arguments["--settings"])
+    module = module_of(arguments)
+    if module is not None:
+        code: int = importlib.import_module(f"{PACKAGE}.{module}").run(arguments)
+        return code
+    return serve(arguments["--config"], arguments["--verbose"], arguments["--settings"])
+
+
+def module_of(arguments: Mapping[str, Any]) -> str | None:
+    """Return the module that carries out another package's command, or None where serving is asked for."""
     for word, module in COMMANDS.items():
-        if given[word]:
-            if word == "fleet" and any(given[turn] for turn in TURNS):
-                module = "maintenance.commands"
-            return importlib.import_module(f"{PACKAGE}.{module}").run(given)
-    return serve(given["--config"], given["--verbose"], given["--settings"])
+        if arguments[word]:
+            if word == "fleet" and any(arguments[one] for one in MAINTENANCE_WORDS):
+                return MAINTENANCE_COMMANDS
+            return module
+    return None
--- a/valeturn/server/components/__init__.py
+++ b/valeturn/server/components/__init__.py
@@ -40,7 +40,7 @@
 
 
 def open_all(server, options):
-    """section -> its part, for each section that the operator's file has. Raises configuration.Wrong."""
+    """section -> its part, for each section that the operator's file has. Raises ConfigurationError."""
     opened = server.parts = {}  # a part may ask for one that stands before it
     for one in TABLE:
         built = options.get(one.section) if options is not None else None
@@ -56,7 +56,7 @@
 
     def __init__(self, server, built):
         """built: what the section's SHAPE made. Opens what must be there before the module starts. Raises
-        configuration.Wrong where the server can't be started with it."""
+        ConfigurationError where the server can't be started with it."""
         self.server, self.built = server, built
 
     def start(self):
--- a/valeturn/server/components/cluster.py
+++ b/valeturn/server/components/cluster.py
@@ -5,7 +5,7 @@
 from ...cluster.node import Fleet
 from ...cluster.vote_file import Refused
 from ...control import requests
-from ..configuration import Wrong
+from ..configuration import ConfigurationError
 from . import Part as Base
 
 FAREWELL = 0.05  # s for the last words to go out, where links are there
@@ -20,9 +20,11 @@
                 built, c.name, server.scheduler, server.counters.add, server.log, c.seed, server.seams.fleet
             )
         except Refused as refused:
-            raise Wrong(f"fleet: {built.folder}: {refused}") from None
+            raise ConfigurationError("fleet", f"{built.folder}: {refused}") from None
         except OSError as error:
-            raise Wrong(f"fleet: {built.listen}, {built.folder or 'no folder'}: {error}") from None
+            raise ConfigurationError(
+                "fleet", f"{built.listen}, {built.folder or 'no folder'}: {error}"
+            ) from None
         server.log(
             "fleet_opened", {"fleet": built.name, "listen": built.listen, "life": self.fleet.vote_life}
         )
--- a/valeturn/server/components/control.py
+++ b/valeturn/server/components/control.py
@@ -28,7 +28,7 @@
 
     def reply(self, request):
         if isinstance(request, requests.Status):
-            return requests.good(status=self.server.status())
+            return requests.good(status=self.server.status.report())
         if isinstance(request, requests.Fenced):
             fleet = self.server.parts.get("fleet")
             stale = requests.refused("this server is in no fleet") if fleet is None else fleet.answer(request)
--- a/valeturn/server/components/maintenance.py
+++ b/valeturn/server/components/maintenance.py
@@ -53,7 +53,7 @@
 
     def go_out(self):
         self.by_turn = True
-        self.server.leave()
+        self.server.shutdown.begin()
 
     def leaving(self):
         if self.by_turn:
@@ -64,7 +64,7 @@
     def drained(self):
         if self.turns is not None:
             self.turns.drained()
-            self.server.again = self.turns.again
+            self.server.restart_requested = self.turns.again
 
     def close(self, patience):
         if self.turns is not None:
--- a/valeturn/server/components/metrics.py
+++ b/valeturn/server/components/metrics.py
@@ -9,7 +9,7 @@
 
 class Part(Base):
     def start(self):
-        self.metrics = Metrics(self.server.status)
+        self.metrics = Metrics(self.server.status.report)
         self.server.scheduler.spawn(self.write, name="metrics")
 
     def write(self):
--- a/valeturn/server/components/result_store.py
+++ b/valeturn/server/components/result_store.py
@@ -9,7 +9,7 @@
 from ...result_store.store import Kept
 from ...transport.streams import Stream
 from ...transport.worker_thread import Helper
-from ..configuration import Wrong
+from ..configuration import ConfigurationError
 from . import Part as Base
 
 CLOSING = 1.0  # s at the end for what still waits for the disk
@@ -24,7 +24,7 @@
         longest = max([w.window for w in names.settings.workloads], default=0.0) + 2 * names.settings.tick
         try:
             if not files.prepare():
-                raise Wrong(f"store: {built.folder}: another process has it")
+                raise ConfigurationError("store", f"{built.folder}: another process has it")
             self.kept = Kept(
                 built,
                 derived,
@@ -36,7 +36,7 @@
                 server.log,
             )
         except (Refused, OSError) as error:
-            raise Wrong(f"store: {built.folder}: {error}") from None
+            raise ConfigurationError("store", f"{built.folder}: {error}") from None
         server.log("store_opened", {**self.kept.figures(), "records_read": self.kept.found.records})
 
     def start(self):
--- a/valeturn/server/configuration.py
+++ b/valeturn/server/configuration.py
@@ -1,121 +1,210 @@
-"""Reads and checks the configuration. What is wrong is told in one line that names the field."""
+"""Reads and checks the JSON configuration. A fault is reported in one line that names the field."""
 
 from __future__ import annotations
 
 import json
 import os
-from typing import NamedTuple
+from collections.abc import Mapping
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from ..admission.settings import Names
+from ..errors import ValeturnError
 
+if TYPE_CHECKING:
+    from ..admission.interface import Settings
 
-class Wrong(Exception):
-    """The configuration cannot be used."""
+LARGEST_PORT = 65535
+LONGEST_PORT = 5  # digits
+SHORTEST_SHUTDOWN, LONGEST_SHUTDOWN, USUAL_SHUTDOWN = 1, 3.6e6, 3000  # ms of `stop_ms`
+FEWEST_SOCKETS, MOST_SOCKETS, USUAL_SOCKETS = 64, 1e6, 1024  # descriptors
+LEAST_MEMORY, MOST_MEMORY, USUAL_MEMORY = 24, 1e6, 192  # MB
+FEWEST_CORES, MOST_CORES, USUAL_CORES = 0.01, 1e3, 1.0
+
+
+class ConfigurationError(ValeturnError):
+    """The configuration, or the operator's file, cannot be used.
+
+    Attributes:
+        field: What is at fault: a dotted key, a section, a variable of the environment.
+        problem: What was expected there, and what was found.
+    """
+
+    def __init__(self, field: str, problem: str) -> None:
+        super().__init__(f"{field}: {problem}")
+        self.field = field
+        self.problem = problem
+
+
+class OperatorFileError(ConfigurationError):
+    """The operator's file cannot be used; the text has a line for each fault, with file, line and rule."""
+
+    def __init__(self, faults: str) -> None:
+        super().__init__("operator's file", faults)
+        self.args = (faults,)
+
+
+class Address(NamedTuple):
+    """Where another party, or this server, listens."""
+
+    host: str
+    port: int
 
 
 class Configuration(NamedTuple):
+    """A checked configuration. Fields bear the names of the keys that they come from."""
+
     name: str
-    listen: tuple
-    executor: tuple
-    naming: tuple
-    ledger: tuple
+    listen: Address
+    executor: Address
+    naming: Address  # of the registry that the server reports to
+    ledger: Address
     seed: int
-    stop: float  # s from the notice to leave to the end
-    sockets: int
+    stop: float  # s from the termination signal to the end of the process
+    sockets: int  # descriptors that the process may have open
     memory_mb: float
     cores: float  # that the process may use
     names: Names
 
 
-MOVABLE = ("executor", "ledger", "naming")  # what a reload takes over
+RELOADABLE = ("executor", "naming", "ledger")  # fields that a reload takes over
 
 
-def _address(raw, field):
+def _address(raw: Mapping[str, Any], field: str) -> Address:
     text = raw.get(field)
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    good = colon and host and port.isascii() and port.isdigit() and len(port) <= 5 and 0 < int(port) < 65536
-    if not good:
-        raise Wrong(f"{field}: wants HOST:PORT, has {text!r}")
-    return host, int(port)
+    numeric = port.isascii() and port.isdigit() and len(port) <= LONGEST_PORT
+    if not colon or not host or not numeric or not 0 < int(port) <= LARGEST_PORT:
+        raise ConfigurationError(field, f"wants HOST:PORT, has {text!r}")
+    return Address(host, int(port))
 
 
-def _number(table, field, least, most, absent=None, prefix=""):
-    value = table.get(field, absent)
+def _number(
+    table: Mapping[str, Any], key: str, least: float, most: float, default: float, section: str = ""
+) -> float:
+    value = table.get(key, default)
     if type(value) not in (int, float) or not least <= value <= most:
-        raise Wrong(f"{prefix}{field}: wants a number from {least} to {most}, has {value!r}")
-    return value
+        raise ConfigurationError(f"{section}{key}", f"wants a number from {least} to {most}, has {value!r}")
+    number: float = value
+    return number
 
 
-def decode(raw, environment=None):
-    environment = environment or {}
-    if not isinstance(raw, dict):
-        raise Wrong("configuration: wants a JSON object")
-    told = {"name": environment.get("EDGE_NAME"), "listen": environment.get("EDGE_LISTEN")}
-    raw = {**raw, **{field: value for field, value in told.items() if value}}
+def _name(raw: Mapping[str, Any]) -> str:
     name = raw.get("name")
-    if (
-        not isinstance(name, str)
-        or not name.isascii()
-        or not name
-        or not all(c.isalnum() or c in "-_." for c in name)
-    ):
-        raise Wrong(f"name: wants letters, digits, '-', '_' or '.', has {name!r}")
+    known = isinstance(name, str) and name.isascii() and bool(name)
+    if not known or not all(character.isalnum() or character in "-_." for character in str(name)):
+        raise ConfigurationError("name", f"wants letters, digits, '-', '_' or '.', has {name!r}")
+    return str(name)
+
+
+def _seed(raw: Mapping[str, Any]) -> int:
+    text: Any = raw.get("seed")
     try:
-        seed = int(raw.get("seed"), 16)
+        return int(text, 16)
     except (TypeError, ValueError):
-        raise Wrong(f"seed: wants hex digits, has {raw.get('seed')!r}") from None
-    limits, settings = raw.get("limits", {}), raw.get("settings")
+        raise ConfigurationError("seed", f"wants hex digits, has {text!r}") from None
+
+
+def _limits(raw: Mapping[str, Any]) -> Mapping[str, Any]:
+    limits = raw.get("limits", {})
     if not isinstance(limits, dict):
-        raise Wrong(f"limits: wants an object, has {limits!r}")
+        raise ConfigurationError("limits", f"wants an object, has {limits!r}")
+    return limits
+
+
+def _names(raw: Mapping[str, Any]) -> Names:
+    settings = raw.get("settings")
     if not isinstance(settings, dict):
-        raise Wrong("settings: wants an object")
-    if not isinstance(settings.get("request_classes"), list) or not settings["request_classes"]:
-        raise Wrong("settings.request_classes: wants a list with at least one entry")
+        raise ConfigurationError("settings", "wants an object")
+    classes = settings.get("request_classes")
+    if not isinstance(classes, list) or not classes:
+        raise ConfigurationError("settings.request_classes", "wants a list with at least one entry")
     try:
         names = Names(settings)
     except ValueError as error:
-        raise Wrong(f"settings.{error}") from None
+        field, _, problem = f"settings.{error}".partition(": ")
+        raise ConfigurationError(field, problem) from None
     except (KeyError, TypeError, AttributeError, ArithmeticError) as error:
-        raise Wrong(f"settings: {type(error).__name__}: {error}") from None
-    _check(names.settings)
+        raise ConfigurationError("settings", f"{type(error).__name__}: {error}") from None
+    _check_settings(names.settings)
+    return names
+
+
+def decode(raw: object, environment: Mapping[str, str] | None = None) -> Configuration:
+    """Check a parsed configuration.
+
+    Args:
+        raw: What the JSON text held.
+        environment: EDGE_NAME and EDGE_LISTEN in it go before the configuration's own.
+
+    Raises:
+        ConfigurationError: It cannot be used.
+    """
+    environment = environment or {}
+    if not isinstance(raw, dict):
+        raise ConfigurationError("configuration", "wants a JSON object")
+    from_environment = {"name": environment.get("EDGE_NAME"), "listen": environment.get("EDGE_LISTEN")}
+    raw = {**raw, **{field: value for field, value in from_environment.items() if value}}
+    name = _name(raw)
+    seed = _seed(raw)
+    limits = _limits(raw)
+    names = _names(raw)
+    shutdown_ms = _number(raw, "stop_ms", SHORTEST_SHUTDOWN, LONGEST_SHUTDOWN, USUAL_SHUTDOWN)
     return Configuration(
-        name,
-        _address(raw, "listen"),
-        _address(raw, "executor"),
-        _address(raw, "naming"),
-        _address(raw, "ledger"),
-        seed,
-        _number(raw, "stop_ms", 1, 3.6e6, 3000) / 1000.0,
-        int(_number(limits, "sockets", 64, 1e6, 1024, "limits.")),
-        _number(limits, "memory_mb", 24, 1e6, 192, "limits."),
-        _number(limits, "cores", 0.01, 1e3, 1.0, "limits."),
-        names,
+        name=name,
+        listen=_address(raw, "listen"),
+        executor=_address(raw, "executor"),
+        naming=_address(raw, "naming"),
+        ledger=_address(raw, "ledger"),
+        seed=seed,
+        stop=shutdown_ms / 1000.0,
+        sockets=int(_number(limits, "sockets", FEWEST_SOCKETS, MOST_SOCKETS, USUAL_SOCKETS, "limits.")),
+        memory_mb=_number(limits, "memory_mb", LEAST_MEMORY, MOST_MEMORY, USUAL_MEMORY, "limits."),
+        cores=_number(limits, "cores", FEWEST_CORES, MOST_CORES, USUAL_CORES, "limits."),
+        names=names,
     )
 
 
-def _check(s):
-    """What the module can't decide with; the rest it takes as it comes, small and zero too."""
-    for field, value, least in (("domain.cpus", s.cores, 1), ("rules.overload_factor", s.crowd_factor, 1)):
+def _check_settings(settings: Settings) -> None:
+    """Refuse what admission can't decide with; the rest it takes as it comes, small and zero too."""
+    least_of = (
+        ("domain.cpus", settings.cores, 1),
+        ("rules.overload_factor", settings.crowd_factor, 1),
+    )
+    for key, value, least in least_of:
         if not value >= least:
-            raise Wrong(f"settings.{field}: wants a number of at least {least}, has {value!r}")
-    for index, w in enumerate(s.workloads):
+            raise ConfigurationError(f"settings.{key}", f"wants a number of at least {least}, has {value!r}")
+    names = set()
+    for index, request_class in enumerate(settings.workloads):
         where = f"settings.request_classes[{index}]"
-        if not isinstance(w.name, str) or not w.name or w.name in [one.name for one in s.workloads[:index]]:
-            raise Wrong(f"{where}.name: wants a name of its own, has {w.name!r}")
-        if not w.latency_goal > 0:
-            raise Wrong(f"{where}.goal_time_ms: wants more than 0, as give_up_ms does")
-    for index, tenant in enumerate(s.tenants):
-        if not isinstance(tenant.name, str) or tenant.name in [one.name for one in s.tenants[:index]]:
-            raise Wrong(f"settings.tenants[{index}].name: wants a name of its own, has {tenant.name!r}")
-
-
-def load(environment=os.environ, path=None):
+        if not isinstance(request_class.name, str) or not request_class.name or request_class.name in names:
+            raise ConfigurationError(f"{where}.name", f"wants a name of its own, has {request_class.name!r}")
+        names.add(request_class.name)
+        if not request_class.latency_goal > 0:
+            raise ConfigurationError(f"{where}.goal_time_ms", "wants more than 0, as give_up_ms does")
+    tenants = set()
+    for index, tenant in enumerate(settings.tenants):
+        if not isinstance(tenant.name, str) or tenant.name in tenants:
+            where = f"settings.tenants[{index}].name"
+            raise ConfigurationError(where, f"wants a name of its own, has {tenant.name!r}")
+        tenants.add(tenant.name)
+
+
+def load(environment: Mapping[str, str] = os.environ, path: str | None = None) -> Configuration:
+    """Read and check the configuration file.
+
+    Args:
+        environment: EDGE_CONFIG in it names the file where `path` does not.
+        path: The file.
+
+    Raises:
+        ConfigurationError: It cannot be read or used.
+    """
     path = path or environment.get("EDGE_CONFIG")
     if not path:
-        raise Wrong("EDGE_CONFIG: not set")
+        raise ConfigurationError("EDGE_CONFIG", "not set")
     try:
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
     except (OSError, ValueError, RecursionError) as error:
-        raise Wrong(f"EDGE_CONFIG: {path}: {error}") from None
+        raise ConfigurationError("EDGE_CONFIG", f"{path}: {error}") from None
     return decode(raw, environment)
--- a/valeturn/server/logs.py
+++ b/valeturn/server/logs.py
@@ -1,4 +1,4 @@
-"""The log: the logging module with one logfmt line an event, on standard error."""
+"""The log: the logging module with one logfmt line for each event, on standard error."""
 
 from __future__ import annotations
 
@@ -6,21 +6,33 @@
 import os
 import select
 import sys
+from collections.abc import Mapping
+from typing import Protocol
 
 from logfmter import Logfmter
 
 LOGGER = logging.getLogger("valeturn")
 
 
-def pairs(fields):
-    return Logfmter.format_params(
-        {key: f"{value:.6g}" if isinstance(value, float) else str(value) for key, value in fields.items()}
-    )
+class Log(Protocol):
+    """Logs one event."""
 
+    def __call__(
+        self, event: str, fields: Mapping[str, object] | None = None, fault: BaseException | None = None
+    ) -> None:
+        """Log an event with its fields; with a fault its traceback goes along, at level error."""
 
-class KeyValue(logging.Formatter):
-    def format(self, record):
-        fields = {
+
+class EventFormatter(logging.Formatter):
+    """Formats a record as `at=... level=... event=... key=value ...`.
+
+    The library's own formatter does not give this line: it has no format for a number of digits, neither of
+    the time nor of a field, and writes the level in capitals. So only its quoting is used.
+    """
+
+    def format(self, record: logging.LogRecord) -> str:
+        """Return the line without its end."""
+        fields: dict[str, object] = {
             "at": f"{record.created:.3f}",
             "level": record.levelname.lower(),
             "event": record.getMessage(),
@@ -28,49 +40,68 @@
         fields.update(getattr(record, "fields", {}))
         if record.exc_info:
             fields["trace"] = self.formatException(record.exc_info)
-        return pairs(fields)
+        texts = {
+            key: f"{value:.6g}" if isinstance(value, float) else str(value) for key, value in fields.items()
+        }
+        return str(Logfmter.format_params(texts))
+
 
+class NonBlockingHandler(logging.Handler):
+    """Writes to a descriptor, and drops lines while nobody reads them.
 
-class NeverWaiting(logging.Handler):
-    """Writes to a descriptor, and drops lines while nobody takes them: a log that is not read must not hold
-    the server up. A pipe that can be written takes PIPE_BUF bytes without waiting."""
+    A log that is not read must not hold the server up. A pipe that polls as writable takes PIPE_BUF bytes
+    without blocking, so that a longer line is written in pieces of that size.
+    """
 
-    def __init__(self, descriptor):
+    def __init__(self, descriptor: int) -> None:
         super().__init__()
-        self.descriptor, self.dropped, self.poller = descriptor, 0, select.poll()
-        self.poller.register(descriptor, select.POLLOUT)
+        self.descriptor = descriptor
+        self.dropped = 0
+        self._poller = select.poll()
+        self._poller.register(descriptor, select.POLLOUT)
 
-    def emit(self, record):
+    def emit(self, record: logging.LogRecord) -> None:
+        """Write one line, or count it as dropped."""
         try:
             data = (self.format(record) + "\n").encode(errors="replace")
-        except Exception:  # a line of what went wrong must not be what ends the loop
+        except Exception:  # a line that can't be formatted must not end the loop
             self.dropped += 1
             return
         for start in range(0, len(data), select.PIPE_BUF):
-            ready = self.poller.poll(0)
-            if not ready or ready[0][1] & ~select.POLLOUT:
-                self.dropped += 1
-                return
-            try:
-                os.write(self.descriptor, data[start : start + select.PIPE_BUF])
-            except OSError:
+            if not self._write(data[start : start + select.PIPE_BUF]):
                 self.dropped += 1
                 return
 
+    def _write(self, piece: bytes) -> bool:
+        ready = self._poller.poll(0)
+        if not ready or ready[0][1] & ~select.POLLOUT:
+            return False
+        try:
+            os.write(self.descriptor, piece)
+        except OSError:
+            return False
+        return True
+
+
+def _standard_error() -> logging.Handler:
+    if sys.stderr is None:  # closed before the process started: the server serves without a log
+        return logging.NullHandler()
+    return NonBlockingHandler(sys.stderr.fileno())
+
 
-def set_up(name):
-    # One whose standard error was closed before it started has none to write to, and serves all the same.
-    handler = logging.NullHandler() if sys.stderr is None else NeverWaiting(sys.stderr.fileno())
-    handler.setFormatter(KeyValue())
-    LOGGER.handlers, LOGGER.propagate = [handler], False
+def set_up(name: str) -> Log:
+    """Send the log to standard error, and return what logs an event of the server of that name."""
+    handler = _standard_error()
+    handler.setFormatter(EventFormatter())
+    LOGGER.handlers = [handler]
+    LOGGER.propagate = False
     LOGGER.setLevel(logging.INFO)
 
-    def log(event, fields=None, fault=None):
-        LOGGER.log(
-            logging.INFO if fault is None else logging.ERROR,
-            event,
-            extra={"fields": {"server": name, **(fields or {})}},
-            exc_info=fault,
-        )
+    def log(
+        event: str, fields: Mapping[str, object] | None = None, fault: BaseException | None = None
+    ) -> None:
+        level = logging.INFO if fault is None else logging.ERROR
+        extra = {"fields": {"server": name, **(fields or {})}}
+        LOGGER.log(level, event, extra=extra, exc_info=fault)
 
     return log
--- a/valeturn/server/resource_limits.py
+++ b/valeturn/server/resource_limits.py
@@ -1,32 +1,57 @@
-"""What may be held at once: the one place where bounds are derived from the configured limits."""
+"""How much may be in use at once: the one place where limits are derived from the configured resources."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-PROCESS = 20  # MB that an idle server takes, and a few for what a moment's work needs
-OTHERS = 20  # descriptors: standard streams, signals, the listener, the link twice over, a report, spares
-SUBMISSION, CONNECTION = 5120, 12288  # bytes: a body and what is kept of it; a task and its buffers
-CALLS = 0.25  # of the descriptors, at most, for calls: each takes one, and gateways take up to a half
+IDLE_PROCESS_MB = 20  # an idle server takes 18 MB; the rest is for what one round of the loop allocates
+# Descriptors beside connections and calls: standard streams, signals, the listener, two links to the executor
+# while one is replaced, a report to the registry, and spares.
+RESERVED_SOCKETS = 20
+REQUEST_BYTES = 5120  # a body, and what the server keeps about its request
+CONNECTION_BYTES = 12288  # a task and its buffers
+CALL_SHARE = 0.25  # of the descriptors, at most, for calls: each takes one, and gateways take up to a half
+CONNECTION_MEMORY_SHARE = 0.4  # of the free memory, at most, for connections
+LEAST_FREE_MB = 4.0  # counted as free even where the configured memory is smaller than the process
+LEAST_CALLS = 8
+LEAST_CONNECTIONS = 8
+LEAST_REQUESTS = 64
+BYTES_PER_MB = 1024 * 1024
 
 
-class Bounds(NamedTuple):
+class ResourceLimits(NamedTuple):
+    """Upper limits of everything that a server holds."""
+
     connections: int  # of gateways
-    calls: int  # out at the ledger
-    submissions: int  # open
-    messages: int  # in the owner's queue
+    calls: int  # in flight at the ledger
+    submissions: int  # open requests
+    messages: int  # in the dispatcher's mailbox
     unsent: int  # bytes of answers that wait for their readers, all together
-    results: int  # bytes of results kept for repeats
-
-
-def derive(sockets, memory_mb, taken_mb=0.0):
-    """taken_mb: what the operator's file gives to subsystems, and their libraries. Of the memory beside the
-    process itself connections get what they take; of what is left submissions and unsent answers a third
-    each, results a sixth; the rest is for the allocator's gaps."""
-    calls = max(8, int(CALLS * (sockets - OTHERS)))
-    free = max(4.0, memory_mb - PROCESS - taken_mb) * 1024 * 1024
-    connections = max(8, min(sockets - OTHERS - calls, int(0.4 * free / CONNECTION)))
-    left = free - connections * CONNECTION
-    submissions = max(64, int(left / 3 / SUBMISSION))
-    messages = 2 * submissions + connections
-    return Bounds(connections, calls, submissions, messages, int(left / 3), int(left / 6))
+    results: int  # bytes of results kept for duplicates
+
+
+def derive(sockets: int, memory_mb: float, subsystems_mb: float = 0.0) -> ResourceLimits:
+    """Derive the limits from what the process may use.
+
+    Of the memory beside the process itself connections get what they take. Of what is left, requests and
+    unsent answers get a third each and results a sixth; the rest is for gaps that the allocator leaves.
+
+    Args:
+        sockets: Descriptors that the process may have open.
+        memory_mb: Memory that the process may take, in MB.
+        subsystems_mb: Memory that the operator's file gives to subsystems and their libraries, in MB.
+    """
+    calls = max(LEAST_CALLS, int(CALL_SHARE * (sockets - RESERVED_SOCKETS)))
+    free = max(LEAST_FREE_MB, memory_mb - IDLE_PROCESS_MB - subsystems_mb) * BYTES_PER_MB
+    affordable = int(CONNECTION_MEMORY_SHARE * free / CONNECTION_BYTES)
+    connections = max(LEAST_CONNECTIONS, min(sockets - RESERVED_SOCKETS - calls, affordable))
+    left = free - connections * CONNECTION_BYTES
+    requests = max(LEAST_REQUESTS, int(left / 3 / REQUEST_BYTES))
+    return ResourceLimits(
+        connections=connections,
+        calls=calls,
+        submissions=requests,
+        messages=2 * requests + connections,
+        unsent=int(left / 3),
+        results=int(left / 6),
+    )
--- a/valeturn/server/test_overrides.py
+++ b/valeturn/server/test_overrides.py
@@ -1,10 +1,16 @@
-"""What a laboratory may put in the place of the system's own, each by one place."""
+"""What the laboratory and tests put in place of the system's own clocks, files and connections."""
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
+if TYPE_CHECKING:
+    from ..cluster.node import Seams
+    from ..result_store.directory import Files
 
-class Seams(NamedTuple):
-    files: object = None  # the store's way to its folder: store.files.Files
-    fleet: object = None  # clocks, links and the vote's folder: fleet.running.Seams
+
+class Overrides(NamedTuple):
+    """Replacements, each injected in one place; None means the system's own."""
+
+    files: Files | None = None  # the result store's access to its directory
+    fleet: Seams | None = None  # the cluster's clocks, connections and vote directory
