--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -24,7 +24,7 @@
 from valeturn.transport.seeded_random import Chance
 
 ROOT = pathlib.Path(__file__).parents[2]
-SHAPES = [module.SHAPE for module in components.options_modules().values()]
+SCHEMAS = [module.SCHEMA for module in components.options_modules().values()]
 GOOD = """[fleet]
 name = lab
 listen = 127.0.0.1:7700
@@ -402,7 +402,7 @@
     ],
 )
 def test_what_is_wrong_with_a_fleet_is_told_by_line_and_rule(text, rule, line):
-    options, faults = schema.check(text, "v.ini", SHAPES)
+    options, faults = schema.check(text, "v.ini", SCHEMAS)
     assert options is None and [(one.rule, one.line) for one in faults] == [(rule, line)], faults
 
 
--- a/tests/degradation/test_degradation.py
+++ b/tests/degradation/test_degradation.py
@@ -14,16 +14,16 @@
 from valeturn.degradation import controller as d
 from valeturn.degradation import reachability
 from valeturn.degradation.conditions import Kind
-from valeturn.degradation.options import fit, make
+from valeturn.degradation.options import check_deployment, make
 from valeturn.degradation.signals import Signals
 from valeturn.dispatch import messages as msg
 from valeturn.dispatch.degradation_monitor import Reducing
 from valeturn.operator_config import schema
-from valeturn.operator_config.value_types import Wants
+from valeturn.operator_config.value_types import InvalidValueError
 from valeturn.server import components, configuration
 
 SLIM, BARE = it.Reduced(without_call=frozenset((0,))), it.Reduced(turn_back=frozenset((0,)))
-SHAPES = [module.SHAPE for module in components.options_modules().values()]
+SCHEMAS = [module.SCHEMA for module in components.options_modules().values()]
 NOTHING = dict.fromkeys(
     ("calls.latency", "calls.failing", "cores.busy", "unread.wait", "memory", "turned_back")
 )
@@ -104,7 +104,7 @@
     ],
 )
 def test_a_wrong_condition_is_told_by_its_rule(text, rule):
-    with pytest.raises(Wants) as wants:
+    with pytest.raises(InvalidValueError) as wants:
         condition(text)
     assert wants.value.args[0] == rule
 
@@ -126,8 +126,8 @@
 
 
 def broken(text, config=CONFIG):
-    options, faults = schema.check(text, "v.ini", SHAPES)
-    return faults or fit(options.get("level"), configuration.decode(config))
+    options, faults = schema.check(text, "v.ini", SCHEMAS)
+    return faults or check_deployment(options.get("level"), configuration.decode(config))
 
 
 @pytest.mark.parametrize("text", BROKEN)
@@ -519,7 +519,7 @@
 
 def test_a_level_reaches_the_module_is_logged_and_ends_with_its_condition(tmp_path):
     text = LEVEL.replace("cores.busy > 80 %", "cores.busy > 80 % for 300 ms")
-    options, faults = schema.check(text, "v.ini", SHAPES)
+    options, faults = schema.check(text, "v.ini", SCHEMAS)
     assert not faults
     ends = Ends()
     ends.names = configuration.decode(json.loads(json.dumps(CONFIG))).names
--- a/tests/digests/degradation.py
+++ b/tests/digests/degradation.py
@@ -11,7 +11,7 @@
 from valeturn.degradation.conditions import Kind
 from valeturn.degradation.controller import CALM, IN, PINNED, TRIAL, Decision, Level
 from valeturn.degradation.signals import Signals
-from valeturn.operator_config.value_types import Wants
+from valeturn.operator_config.value_types import InvalidValueError
 
 STATES = (CALM, IN, TRIAL, PINNED)
 STEPS = 4500
@@ -65,7 +65,7 @@
     for text in UNREADABLE:
         try:
             record([list(row[0]) for row in Kind().read(text).rows])
-        except Wants as error:
+        except InvalidValueError as error:
             record(list(error.args))
 
 
--- a/valeturn/cluster/options.py
+++ b/valeturn/cluster/options.py
@@ -5,8 +5,8 @@
 import re
 from typing import NamedTuple
 
-from ..operator_config.schema import REQUIRED, Field, Shape
-from ..operator_config.value_types import Folder, Quantity, Switch, Wants, Whole
+from ..operator_config.schema import REQUIRED, Field, SectionSchema
+from ..operator_config.value_types import AbsolutePath, Boolean, InvalidValueError, Quantity, WholeNumber
 from . import limits
 from .membership import SUSPICION
 
@@ -21,7 +21,9 @@
         numbers = host.split(".")
         good = len(numbers) == 4 and all(n.isascii() and n.isdigit() and int(n) < 256 for n in numbers)
         if not colon or not good or not (port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-            raise Wants("unreadable-value", f"wants an address such as 10.0.0.5:7700, has {text!r}")
+            raise InvalidValueError(
+                "unreadable-value", f"wants an address such as 10.0.0.5:7700, has {text!r}"
+            )
         return f"{host}:{int(port)}"
 
 
@@ -30,7 +32,9 @@
 
     def read(self, text):
         if not NAME.fullmatch(text) or len(text) > limits.ADDRESS:
-            raise Wants("unreadable-value", f"wants letters, digits, '-', '_' or '.', has {text!r}")
+            raise InvalidValueError(
+                "unreadable-value", f"wants letters, digits, '-', '_' or '.', has {text!r}"
+            )
         return text
 
 
@@ -44,9 +48,9 @@
         found = tuple(self.kind.read(one.strip()) for one in text.split(","))
         if len(set(found)) != len(found):
             twice = next(one for one in found if found.count(one) > 1)
-            raise Wants("doubled-name", f"names {twice} twice")
+            raise InvalidValueError("doubled-name", f"names {twice} twice")
         if len(found) > self.most:
-            raise Wants("out-of-range", f"wants {self.most} at the most, has {len(found)}")
+            raise InvalidValueError("out-of-range", f"wants {self.most} at the most, has {len(found)}")
         return found
 
 
@@ -91,7 +95,7 @@
     return options, faults
 
 
-def fit(built, c):
+def check_deployment(built, c):
     """What is wrong with it beside a configuration."""
     faults, host = [], built.listen.rpartition(":")
     if (
@@ -113,19 +117,19 @@
     return faults
 
 
-SHAPE = Shape(
+SCHEMA = SectionSchema(
     "fleet",
     {
         "name": Field(Word(), REQUIRED),
         "listen": Field(Address(), REQUIRED),
         "seeds": Field(Many(Address(), 16), REQUIRED),
         "voters": Field(Many(Word(), limits.VOTERS), REQUIRED),
-        "folder": Field(Folder(), None),
+        "folder": Field(AbsolutePath(), None),
         "zone": Field(Word(), "-"),
         "probe": Field(Quantity("a time", 0.1, 60.0), 1.0),
         "lease": Field(Quantity("a time", 0.2, 60.0), 2.0),
-        "even": Field(Switch(), False),
-        "largest": Field(Whole(1, limits.MEMBERS), 200),
+        "even": Field(Boolean(), False),
+        "largest": Field(WholeNumber(1, limits.MEMBERS), 200),
     },
     build,
 )
--- a/valeturn/cluster/task_options.py
+++ b/valeturn/cluster/task_options.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
-from ..operator_config.schema import REQUIRED, Field, Shape
-from ..operator_config.value_types import One, Quantity, Text, Whole
+from ..operator_config.schema import REQUIRED, Field, SectionSchema
+from ..operator_config.value_types import Choice, Quantity, Text, WholeNumber
 from . import limits
 
 KILLED = 0.15  # of the lease, before its end, at which a command is killed that did not heed TERM
@@ -50,7 +50,7 @@
     return options, faults
 
 
-def fit(duties, c):
+def check_deployment(duties, c):
     """What is wrong with them beside each other."""
     faults, sharing = [], [name for name, one in duties.items() if one.do == "share-calls"]
     for name in sharing[1:]:
@@ -68,7 +68,7 @@
     return faults
 
 
-def beside(duties, sections):
+def check_sections(duties, sections):
     """What is wrong with them beside [fleet], without which there is nobody to share them with."""
     faults, fleet = [], sections.get("fleet")
     for name, one in duties.items():
@@ -89,16 +89,16 @@
     return faults
 
 
-SHAPE = Shape(
+SCHEMA = SectionSchema(
     "duty",
     {
-        "do": Field(One(("run", "share-calls")), REQUIRED),
+        "do": Field(Choice(("run", "share-calls")), REQUIRED),
         "command": Field(Text(), None),
         "every": Field(Quantity("a time", 0.1, 30 * 86400.0), None),
         "most": Field(Quantity("a time", 0.1, 86400.0), None),
         "patience": Field(Quantity("a time", 0.0, 10.0), 0.5),
-        "fenced": Field(One(("number", "clock", "none")), "none"),
-        "cap": Field(Whole(1, 1_000_000), None),
+        "fenced": Field(Choice(("number", "clock", "none")), "none"),
+        "cap": Field(WholeNumber(1, 1_000_000), None),
         "round": Field(Quantity("a time", 0.05, 10.0), 0.5),
     },
     build,
--- a/valeturn/control/commands.py
+++ b/valeturn/control/commands.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from ..operator_config.value_types import Quantity, Wants
+from ..operator_config.value_types import InvalidValueError, Quantity
 from . import client
 from .requests import LONGEST_HOLD
 
@@ -24,7 +24,7 @@
         return client.level(paths, None, 0.0)
     try:
         seconds = Quantity("a time", 0.1, LONGEST_HOLD).read(given["--for"])
-    except Wants as wants:
-        print(f"valeturn: --for {wants.args[1]}", file=sys.stderr)
+    except InvalidValueError as error:
+        print(f"valeturn: --for {error.text}", file=sys.stderr)
         return 2
     return client.level(paths, given["NAME"], seconds)
--- a/valeturn/control/options.py
+++ b/valeturn/control/options.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
-from ..operator_config.schema import REQUIRED, Field, Shape
-from ..operator_config.value_types import Folder
+from ..operator_config.schema import REQUIRED, Field, SectionSchema
+from ..operator_config.value_types import AbsolutePath
 
 LONGEST_PATH = 100  # bytes of a Unix socket's path: the system takes 107
 
@@ -24,9 +24,9 @@
     return ControlOptions(**values, where=where), faults
 
 
-def fit(built, c):
+def check_deployment(built, c):
     """Nothing of a configuration speaks against a socket."""
     return []
 
 
-SHAPE = Shape("control", {"socket": Field(Folder(), REQUIRED)}, build)
+SCHEMA = SectionSchema("control", {"socket": Field(AbsolutePath(), REQUIRED)}, build)
--- a/valeturn/degradation/conditions.py
+++ b/valeturn/degradation/conditions.py
@@ -8,7 +8,7 @@
 import functools
 from typing import NamedTuple
 
-from ..operator_config.value_types import FAMILIES, Wants
+from ..operator_config.value_types import UNITS_BY_DIMENSION, InvalidValueError
 
 # Signal -> the family of its unit, and the most that it can be. What it is made of stands in signals.py.
 SIGNALS = {
@@ -87,14 +87,14 @@
 
 
 def _with_unit(number, unit, family, what):
-    units = FAMILIES[family]
+    units = UNITS_BY_DIMENSION[family]
     if unit is None:
-        raise Wants(
+        raise InvalidValueError(
             "missing-unit", f"{what}: wants {family} with its unit ({', '.join(units)}), has {number}"
         )
     if unit not in units:
-        other = next((name for name, known in FAMILIES.items() if unit in known), "no unit")
-        raise Wants(
+        other = next((name for name, known in UNITS_BY_DIMENSION.items() if unit in known), "no unit")
+        raise InvalidValueError(
             "wrong-unit", f"{what}: wants {family} ({', '.join(units)}), has {number} {unit}, {other}"
         )
     return float(number) * units[unit]
@@ -104,25 +104,25 @@
     signal, compared, value, *lasting = tree.children
     signal = str(signal)
     if signal not in SIGNALS:
-        raise Wants("unknown-signal", f"{signal}; known: {', '.join(SIGNALS)}")
+        raise InvalidValueError("unknown-signal", f"{signal}; known: {', '.join(SIGNALS)}")
     family, most = SIGNALS[signal]
     if value.data == "usual":
         if family != "a time":
-            raise Wants("no-usual", f"{signal} is a share: it has no usual value")
+            raise InvalidValueError("no-usual", f"{signal} is a share: it has no usual value")
         number = float(value.children[0])
         if number <= 0:
-            raise Wants("out-of-range", f"{signal}: {number:g} x usual is never passed")
+            raise InvalidValueError("out-of-range", f"{signal}: {number:g} x usual is never passed")
     else:
         words = [str(token) for token in value.children]
         number = _with_unit(words[0], words[1] if len(words) > 1 else None, family, signal)
         if not 0 <= number <= most or compared == ">" and number >= most or compared == "<" and number <= 0:
-            raise Wants("never-holds", f"{signal} {compared} {' '.join(words)} can never hold")
+            raise InvalidValueError("never-holds", f"{signal} {compared} {' '.join(words)} can never hold")
     seconds = 0.0
     if lasting:
         words = [str(token) for token in lasting[0].children]
         seconds = _with_unit(words[0], words[1], "a time", "for")
         if seconds > LONGEST:
-            raise Wants("out-of-range", f"for {seconds:g} s is over {LONGEST:g} s")
+            raise InvalidValueError("out-of-range", f"for {seconds:g} s is over {LONGEST:g} s")
     return One(signal, compared == ">", number, value.data == "usual", seconds)
 
 
@@ -136,7 +136,7 @@
             tree = _parser().parse(text)
         except UnexpectedInput as error:
             at = getattr(error, "column", 0)
-            raise Wants(
+            raise InvalidValueError(
                 "unreadable-condition",
                 "wants SIGNAL > VALUE for TIME, joined by and / or; not read "
                 f"from character {max(1, at)} of {text!r}",
--- a/valeturn/degradation/options.py
+++ b/valeturn/degradation/options.py
@@ -5,8 +5,8 @@
 from typing import NamedTuple
 
 from ..admission.interface import Reduced
-from ..operator_config.schema import REQUIRED, Field, Shape
-from ..operator_config.value_types import Quantity, Switch, Wants, Whole
+from ..operator_config.schema import REQUIRED, Field, SectionSchema
+from ..operator_config.value_types import Boolean, InvalidValueError, Quantity, WholeNumber
 from .conditions import Kind
 from .controller import Level
 from .reachability import unreached
@@ -18,7 +18,9 @@
     def read(self, text):
         names = [name.strip() for name in text.split(",")]
         if not all(names) or len(set(names)) != len(names):
-            raise Wants("unreadable-value", f"wants names parted by commas, each once, has {text!r}")
+            raise InvalidValueError(
+                "unreadable-value", f"wants names parted by commas, each once, has {text!r}"
+            )
         return tuple(names)
 
 
@@ -76,16 +78,16 @@
     return options, faults
 
 
-SHAPE = Shape(
+SCHEMA = SectionSchema(
     "level",
     {
-        "rank": Field(Whole(1, 9), REQUIRED),
+        "rank": Field(WholeNumber(1, 9), REQUIRED),
         "enter": Field(Kind(), REQUIRED),
         "leave": Field(Kind(), REQUIRED),
         "stay": Field(Quantity("a time", 0.5, 3600.0), 5.0),
         "without_call": Field(Names(), ()),
         "call_wait": Field(Quantity("a share", 0.1, 1.0), 1.0),
-        "within_share": Field(Switch(), False),
+        "within_share": Field(Boolean(), False),
         "least_rank": Field(Quantity("a share", 0.0, 0.99), 0.0),
         "turn_back": Field(Names(), ()),
     },
@@ -94,7 +96,7 @@
 )
 
 
-def fit(levels, c):
+def check_deployment(levels, c):
     """The faults of all levels beside each other and a deployment (its configuration, of which names)."""
     faults, ranks, names = [], {}, c.names
     settings, known = names.settings, names.workloads
--- a/valeturn/maintenance/commands.py
+++ b/valeturn/maintenance/commands.py
@@ -7,13 +7,13 @@
 import time
 
 from ..control import client, requests
-from ..operator_config.value_types import Quantity, Wants
+from ..operator_config.value_types import InvalidValueError, Quantity
 
 REFUSED, OVERDUE = 3, 4  # exit codes
 
 
 def seconds(given, name):
-    """Of an option, or None. Raises Wants."""
+    """Of an option, or None. Raises InvalidValueError."""
     return None if given[name] is None else Quantity("a time", 1.0, requests.MOST_WORK).read(given[name])
 
 
@@ -25,8 +25,8 @@
     what = next(word for word in requests.TURNS if given[word])
     try:
         work, wait = seconds(given, "--work"), seconds(given, "--wait")
-    except Wants as wants:
-        print(f"valeturn: {wants.args[1]}", file=sys.stderr)
+    except InvalidValueError as error:
+        print(f"valeturn: {error.text}", file=sys.stderr)
         return 2
     names = [name.strip() for name in (given["NAMES"] or "").split(",") if name.strip()]
     request = {
--- a/valeturn/maintenance/options.py
+++ b/valeturn/maintenance/options.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
-from ..operator_config.schema import Field, Shape
-from ..operator_config.value_types import One, Quantity, Switch, Text, Whole
+from ..operator_config.schema import Field, SectionSchema
+from ..operator_config.value_types import Boolean, Choice, Quantity, Text, WholeNumber
 from .drain_schedule import Limits
 
 
@@ -33,7 +33,7 @@
     return TurnsOptions(**values, where=where), []
 
 
-def fit(built, c):
+def check_deployment(built, c):
     faults = []
     if built.most >= max(2, c.names.settings.servers) and c.names.settings.servers > 1:
         faults.append(
@@ -44,24 +44,24 @@
     return faults
 
 
-def beside(built, sections):
+def check_sections(built, sections):
     if "fleet" not in sections:
         return [built.where["most"].fault("no-fleet", "[turns] wants a section [fleet]")]
     return []
 
 
-SHAPE = Shape(
+SCHEMA = SectionSchema(
     "turns",
     {
-        "most": Field(Whole(1, 1000), 1),
+        "most": Field(WholeNumber(1, 1000), 1),
         "share": Field(Quantity("a share", 0.001, 0.9), 0.1),
-        "one_zone": Field(Switch(), True),
+        "one_zone": Field(Boolean(), True),
         "spare": Field(Quantity("a share", 0.0, 0.9), 0.1),
-        "answers": Field(Whole(0, 1_000_000), 20),
+        "answers": Field(WholeNumber(0, 1_000_000), 20),
         "idle": Field(Quantity("a time", 0.1, 3600.0), 30.0),
         "work": Field(Quantity("a time", 1.0, 86400.0), 600.0),
         "patience": Field(Quantity("a time", 1.0, 3600.0), 60.0),
-        "missing": Field(One(("keep", "give")), "keep"),
+        "missing": Field(Choice(("keep", "give")), "keep"),
         "empty": Field(Text(), None),
         "returned": Field(Text(), None),
     },
--- a/valeturn/metrics/options.py
+++ b/valeturn/metrics/options.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
-from ..operator_config.schema import REQUIRED, Field, Shape
-from ..operator_config.value_types import Folder, Quantity
+from ..operator_config.schema import REQUIRED, Field, SectionSchema
+from ..operator_config.value_types import AbsolutePath, Quantity
 
 LIBRARY = 14_000_000  # bytes that the client library takes in the server
 
@@ -27,13 +27,13 @@
         return []
 
 
-def fit(built, c):
+def check_deployment(built, c):
     """What is wrong with it beside a configuration."""
     return built.fit(c.memory_mb)
 
 
-SHAPE = Shape(
+SCHEMA = SectionSchema(
     "metrics",
-    {"file": Field(Folder(), REQUIRED), "every": Field(Quantity("a time", 1.0, 3600.0), 15.0)},
+    {"file": Field(AbsolutePath(), REQUIRED), "every": Field(Quantity("a time", 1.0, 3600.0), 15.0)},
     lambda values, where: (MetricsOptions(**values, where=where), []),
 )
--- a/valeturn/operator_config/schema.py
+++ b/valeturn/operator_config/schema.py
@@ -1,104 +1,175 @@
-"""Checks sections against what the subsystems declare, and reports all faults of a file in one go."""
+"""Check the sections of an operator's file against the schemas that the subsystems declare.
+
+All faults of a file are collected and reported together.
+"""
 
 from __future__ import annotations
 
 import difflib
-from typing import NamedTuple
+import os
+from collections.abc import Iterable, Mapping
+from typing import Any, Final, Generic, NamedTuple, Protocol, TypeVar
+
+from .grammar import Fault, LocatedValue, Section, parse
+from .value_types import InvalidValueError, ValueType
+
+__all__ = [
+    "REQUIRED",
+    "BuildOptions",
+    "CheckedFile",
+    "Fault",
+    "Field",
+    "LocatedValue",
+    "OperatorConfig",
+    "SectionSchema",
+    "check",
+    "check_file",
+]
+
+OptionsT = TypeVar("OptionsT")
+OptionsT_co = TypeVar("OptionsT_co", covariant=True)
 
-from .grammar import Fault, Value, parse
-from .value_types import Wants
+REQUIRED: Final = object()  # the default of a field that must be written
 
 
 class Field(NamedTuple):
-    """One key: its kind, and what holds where it is absent. REQUIRED ones must be there."""
+    """One key of a section.
+
+    Attributes:
+        value_type: Reads the value that is written.
+        default: The value where the key is not written; REQUIRED where it must be.
+    """
+
+    value_type: ValueType[object]
+    default: object
+
 
-    kind: object
-    absent: object
+class BuildOptions(Protocol[OptionsT_co]):
+    """Makes a subsystem's options of one section."""
 
+    def __call__(
+        self, values: dict[str, Any], where: dict[str, LocatedValue], /
+    ) -> tuple[OptionsT_co, list[Fault]]:
+        """Return the options, and faults that show only between the values of this section.
 
-REQUIRED = object()
+        Args:
+            values: The value of each field, read or its default.
+            where: The place of each field; that of the section's header where the key is not written.
+        """
+        ...
 
 
-class Shape(NamedTuple):
-    """What one kind of section may hold. `build` takes the values by key and `where`, the places of those
-    that are written, and returns (what the subsystem uses, more faults)."""
+class SectionSchema(NamedTuple, Generic[OptionsT]):
+    """What the sections of one name may hold.
+
+    Attributes:
+        name: The section's name in the file.
+        fields: The section's fields by key.
+        build: Makes the subsystem's options of the values.
+        labelled: Whether the file has any number of these sections, each with a label behind the name.
+    """
 
     name: str
-    fields: dict
-    build: object
+    fields: dict[str, Field]
+    build: BuildOptions[OptionsT]
     labelled: bool = False
 
 
-class Options(NamedTuple):
-    """All sections of a file that can be used: name -> what `build` returned, or {label: that}."""
+class OperatorConfig(NamedTuple):
+    """The options of all sections of a file without faults.
+
+    Attributes:
+        file: The file's path.
+        sections: Section name -> what the schema's `build` made, or {label: that} of a labelled section.
+    """
 
     file: str
-    sections: dict
+    sections: dict[str, Any]
 
-    def get(self, name):
+    def get(self, name: str) -> Any:  # noqa: ANN401 - each section's options have a type of their own
+        """Return the options of a section, or None where the file does not have it."""
         return self.sections.get(name)
 
 
-def _like(word, known):
-    near = difflib.get_close_matches(word, known, 1)
-    return f"; did you mean {near[0]}?" if near else f"; known: {', '.join(sorted(known))}"
+class CheckedFile(NamedTuple):
+    """The options of a file, None where it has a fault, and its faults in the order of their lines."""
+
+    config: OperatorConfig | None
+    faults: list[Fault]
 
 
-def check(text, file, shapes):
-    """(Options, faults in the order of their lines). Options is None where there is a fault."""
+def check(text: str, file: str, schemas: Iterable[SectionSchema[Any]]) -> CheckedFile:
+    """Check a text against the schemas of all sections that it may hold; `file` names it in the faults."""
     sections, faults = parse(text, file)
-    known, made = {shape.name: shape for shape in shapes}, {}
+    schemas_by_name = {schema.name: schema for schema in schemas}
+    options_by_section: dict[str, Any] = {}
     for section in sections:
-        shape = known.get(section.name)
-        if shape is None:
-            faults.append(
-                section.place.fault("unknown-section", f"[{section.name}]{_like(section.name, known)}")
-            )
+        schema = schemas_by_name.get(section.name)
+        if schema is None:
+            text = f"[{section.name}]{_suggest(section.name, schemas_by_name)}"
+            faults.append(section.header.fault("unknown-section", text))
             continue
-        if bool(section.label) != shape.labelled:
-            text = f"[{section.name}] " + ("wants a name behind it" if shape.labelled else "takes no name")
-            faults.append(section.place.fault("label", text))
+        if bool(section.label) != schema.labelled:
+            expectation = "wants a name behind it" if schema.labelled else "takes no name"
+            faults.append(section.header.fault("label", f"[{section.name}] {expectation}"))
             continue
-        built, wrong = _section(section, shape)
-        faults += wrong
-        if not wrong and shape.labelled:
-            made.setdefault(section.name, {})[section.label] = built
-        elif not wrong:
-            made[section.name] = built
+        options, section_faults = _check_section(section, schema)
+        faults += section_faults
+        if section_faults:
+            continue
+        if schema.labelled:
+            options_by_section.setdefault(section.name, {})[section.label] = options
+        else:
+            options_by_section[section.name] = options
     faults.sort(key=lambda fault: (fault.line, fault.column))
-    return (None if faults else Options(file, made)), faults
+    config = None if faults else OperatorConfig(file, options_by_section)
+    return CheckedFile(config, faults)
 
 
-def _section(section, shape):
-    values, faults = {}, []
-    for key, place in section.values.items():
-        field = shape.fields.get(key)
-        if field is None:
-            faults.append(place.fault("unknown-key", f"{key} in [{section.name}]{_like(key, shape.fields)}"))
+def check_file(path: str | os.PathLike[str], schemas: Iterable[SectionSchema[Any]]) -> CheckedFile:
+    """Check a file as `check` does a text; a file that cannot be read has one fault, at line 0."""
+    try:
+        with open(path, encoding="utf-8") as file:
+            text = file.read()
+    except (OSError, UnicodeDecodeError) as error:
+        return CheckedFile(None, [Fault(str(path), 0, 0, "unreadable", str(error))])
+    return check(text, str(path), schemas)
+
+
+def _check_section(section: Section, schema: SectionSchema[OptionsT]) -> tuple[OptionsT | None, list[Fault]]:
+    """Return a section's options and its faults; there are options only if all its values can be read."""
+    values, faults = _read_values(section, schema.fields)
+    for key, field in schema.fields.items():
+        if key in section.values:
             continue
-        try:
-            values[key] = field.kind.read(place.text)
-        except Wants as wants:
-            faults.append(place.fault(wants.args[0], f"{key} {wants.args[1]}"))
-    for key, field in shape.fields.items():
-        if key not in section.values:
-            if field.absent is REQUIRED:
-                faults.append(section.place.fault("missing-key", f"[{section.name}] wants {key}"))
-            values[key] = field.absent
+        if field.default is REQUIRED:
+            faults.append(section.header.fault("missing-key", f"[{section.name}] wants {key}"))
+        values[key] = field.default
     if faults:
         return None, faults
-    where = {key: section.values.get(key, section.place) for key in shape.fields}
-    return shape.build(values, where)
+    where = {key: section.values.get(key, section.header) for key in schema.fields}
+    return schema.build(values, where)
 
 
-def load(path, shapes):
-    """As `check`, from a file; what keeps it from being read is a fault of the whole file."""
-    try:
-        with open(path, encoding="utf-8") as file:
-            text = file.read()
-    except (OSError, UnicodeDecodeError) as error:
-        return None, [Fault(str(path), 0, 0, "unreadable", str(error))]
-    return check(text, str(path), shapes)
+def _read_values(section: Section, fields: Mapping[str, Field]) -> tuple[dict[str, Any], list[Fault]]:
+    """Return the values that are written in a section by key, and the faults of those that cannot be read."""
+    values: dict[str, Any] = {}
+    faults = []
+    for key, written in section.values.items():
+        field = fields.get(key)
+        if field is None:
+            text = f"{key} in [{section.name}]{_suggest(key, fields)}"
+            faults.append(written.fault("unknown-key", text))
+            continue
+        try:
+            values[key] = field.value_type.read(written.text)
+        except InvalidValueError as error:
+            faults.append(written.fault(error.rule, f"{key} {error.text}"))
+    return values, faults
 
 
-__all__ = ["Fault", "Field", "Options", "REQUIRED", "Shape", "Value", "check", "load"]
+def _suggest(name: str, known_names: Iterable[str]) -> str:
+    """Return the end of a fault about an unknown name: the nearest known name, or all of them."""
+    candidates = list(known_names)
+    nearest = difflib.get_close_matches(name, candidates, 1)
+    return f"; did you mean {nearest[0]}?" if nearest else f"; known: {', '.join(sorted(candidates))}"
--- a/valeturn/operator_config/value_types.py
+++ b/valeturn/operator_config/value_types.py
@@ -1,106 +1,189 @@
-"""Kinds of values: each turns a text into what the program uses, or says what it wants instead."""
+"""Types of the values in the operator's file.
+
+Each type reads a text into what the program uses, or raises InvalidValueError with what it expects instead.
+"""
 
 from __future__ import annotations
 
 import math
 import os
-from typing import NamedTuple
-
-from .grammar import quantity
-
-TIMES = {"ms": 0.001, "s": 1.0, "min": 60.0, "h": 3600.0, "d": 86400.0}
-SIZES = {"B": 1, "kB": 1000, "MB": 1000**2, "GB": 1000**3, "KiB": 1024, "MiB": 1024**2, "GiB": 1024**3}
-RATES = {"/s": 1.0, "/min": 1 / 60}
-FAMILIES = {"a time": TIMES, "a size": SIZES, "a rate": RATES, "a share": {"%": 0.01}}
-
-
-class Wants(Exception):
-    """A value is not of its kind; args are the rule's name and the text."""
-
-
-def _with_unit(text, family):
-    """The number in the family's base unit. A unit of another family is named, as it is no slip of the
-    pen."""
-    units = FAMILIES[family]
-    found = quantity(text)
-    listed = ", ".join(units)
-    if found is None:
-        raise Wants("unreadable-value", f"wants {family} ({listed}), has {text!r}")
-    number, unit = found
-    if not unit:
-        raise Wants("missing-unit", f"wants {family} with its unit ({listed}), has {text!r}")
-    if unit not in units:
-        other = next((name for name, known in FAMILIES.items() if unit in known), None)
-        raise Wants(
-            "wrong-unit", f"wants {family} ({listed}), has {text!r}" + (f", {other}" if other else "")
-        )
-    return number * units[unit]
+from typing import NamedTuple, Protocol, TypeVar
+
+from ..errors import ValeturnError
+from .grammar import parse_quantity
+
+# Unit -> its size in the base unit of its dimension: seconds, bytes, 1/s, and the whole.
+TIME_UNITS = {"ms": 0.001, "s": 1.0, "min": 60.0, "h": 3600.0, "d": 86400.0}
+SIZE_UNITS: dict[str, float] = {
+    "B": 1,
+    "kB": 1000,
+    "MB": 1000**2,
+    "GB": 1000**3,
+    "KiB": 1024,
+    "MiB": 1024**2,
+    "GiB": 1024**3,
+}
+RATE_UNITS = {"/s": 1.0, "/min": 1 / 60}
+SHARE_UNITS = {"%": 0.01}
+
+SIZE = "a size"
+# Dimension, as the faults name it -> its units.
+UNITS_BY_DIMENSION: dict[str, dict[str, float]] = {
+    "a time": TIME_UNITS,
+    SIZE: SIZE_UNITS,
+    "a rate": RATE_UNITS,
+    "a share": SHARE_UNITS,
+}
+
+ValueT_co = TypeVar("ValueT_co", covariant=True)
+
+
+class InvalidValueError(ValeturnError):
+    """A text is not of the type that its key expects.
+
+    Attributes:
+        rule: Short name of the broken rule, stable between versions.
+        text: What was expected and what was found; the key goes before it.
+    """
+
+    def __init__(self, rule: str, text: str) -> None:
+        super().__init__(rule, text)
+        self.rule = rule
+        self.text = text
+
+
+class ValueType(Protocol[ValueT_co]):
+    """What a field expects of its type; subsystems define types of their own besides those here."""
+
+    def read(self, text: str) -> ValueT_co:
+        """Return the value of a text.
+
+        Raises:
+            InvalidValueError: The text is not of this type.
+        """
+        ...
+
+
+def _to_base_unit(text: str, dimension: str) -> float:
+    """Return the number that a text says, in the base unit of the dimension.
+
+    A unit of another dimension is named with that dimension, as it is unlikely to be a mere misprint.
+
+    Raises:
+        InvalidValueError: The text is no quantity, or its unit is missing or of another dimension.
+    """
+    units = UNITS_BY_DIMENSION[dimension]
+    quantity = parse_quantity(text)
+    unit_list = ", ".join(units)
+    if quantity is None:
+        raise InvalidValueError("unreadable-value", f"wants {dimension} ({unit_list}), has {text!r}")
+    if not quantity.unit:
+        expectation = f"wants {dimension} with its unit ({unit_list}), has {text!r}"
+        raise InvalidValueError("missing-unit", expectation)
+    if quantity.unit not in units:
+        expectation = f"wants {dimension} ({unit_list}), has {text!r}"
+        for other_dimension, other_units in UNITS_BY_DIMENSION.items():
+            if quantity.unit in other_units:
+                expectation += f", {other_dimension}"
+                break
+        raise InvalidValueError("wrong-unit", expectation)
+    return quantity.number * units[quantity.unit]
 
 
 class Quantity(NamedTuple):
-    """A number with a unit of one family, between two bounds in the base unit (s, bytes, 1/s)."""
-
-    family: str
-    least: float
-    most: float
-
-    def read(self, text):
-        value = _with_unit(text, self.family)
-        if not self.least <= value <= self.most or not math.isfinite(value):
-            raise Wants(
-                "out-of-range",
-                f"wants {self.family} from {self.say(self.least)} to {self.say(self.most)}, has {text!r}",
-            )
-        return int(value) if self.family == "a size" else value
-
-    def say(self, value):
-        units = [(size, name) for name, size in FAMILIES[self.family].items() if size <= value]
-        size, name = max(units) if units else min((s, n) for n, s in FAMILIES[self.family].items())
+    """A number with a unit, between two inclusive bounds in the base unit (s, bytes, 1/s)."""
+
+    dimension: str
+    minimum: float
+    maximum: float
+
+    def read(self, text: str) -> float:
+        """Return the quantity in the base unit; a size is a whole number of bytes.
+
+        Raises:
+            InvalidValueError: The text is no quantity of this dimension or is out of the bounds.
+        """
+        value = _to_base_unit(text, self.dimension)
+        if not self.minimum <= value <= self.maximum or not math.isfinite(value):
+            bounds = f"from {self.format(self.minimum)} to {self.format(self.maximum)}"
+            raise InvalidValueError("out-of-range", f"wants {self.dimension} {bounds}, has {text!r}")
+        return int(value) if self.dimension == SIZE else value
+
+    def format(self, value: float) -> str:
+        """Return a value of the base unit in the largest unit that is no larger than the value."""
+        units = [(size, name) for name, size in UNITS_BY_DIMENSION[self.dimension].items()]
+        fitting = [unit for unit in units if unit[0] <= value]
+        size, name = max(fitting) if fitting else min(units)
         return f"{value / size:g} {name}"
 
 
-class Switch(NamedTuple):
-    def read(self, text):
+class Boolean(NamedTuple):
+    """The words `on` and `off`."""
+
+    def read(self, text: str) -> bool:
+        """Return whether the text is `on`.
+
+        Raises:
+            InvalidValueError: The text is neither word.
+        """
         if text not in ("on", "off"):
-            raise Wants("unreadable-value", f"wants on or off, has {text!r}")
+            raise InvalidValueError("unreadable-value", f"wants on or off, has {text!r}")
         return text == "on"
 
 
-class Folder(NamedTuple):
-    """A path; what it names is looked at by who uses it."""
+class AbsolutePath(NamedTuple):
+    """An absolute path; whether it exists is checked by the subsystem that uses it."""
+
+    def read(self, text: str) -> str:
+        """Return the path in its normal form.
 
-    def read(self, text):
+        Raises:
+            InvalidValueError: The text is no absolute path.
+        """
         if "\0" in text or not os.path.isabs(text):
-            raise Wants("unreadable-value", f"wants an absolute path, has {text!r}")
+            raise InvalidValueError("unreadable-value", f"wants an absolute path, has {text!r}")
         return os.path.normpath(text)
 
 
-class Whole(NamedTuple):
-    least: int
-    most: int
+class WholeNumber(NamedTuple):
+    """A whole number without a unit, between two bounds, inclusive."""
+
+    minimum: int
+    maximum: int
+
+    def read(self, text: str) -> int:
+        """Return the number.
+
+        Raises:
+            InvalidValueError: The text is no whole number or is out of the bounds.
+        """
+        quantity = parse_quantity(text)
+        if quantity is None or quantity.unit or quantity.number != int(quantity.number):
+            raise InvalidValueError("unreadable-value", f"wants a whole number, has {text!r}")
+        if not self.minimum <= quantity.number <= self.maximum:
+            raise InvalidValueError("out-of-range", f"wants {self.minimum} to {self.maximum}, has {text!r}")
+        return int(quantity.number)
 
-    def read(self, text):
-        found = quantity(text)
-        if found is None or found[1] or found[0] != int(found[0]):
-            raise Wants("unreadable-value", f"wants a whole number, has {text!r}")
-        if not self.least <= found[0] <= self.most:
-            raise Wants("out-of-range", f"wants {self.least} to {self.most}, has {text!r}")
-        return int(found[0])
 
+class Choice(NamedTuple):
+    """One of a few words."""
 
-class One(NamedTuple):
-    """One word of a few."""
+    words: tuple[str, ...]
 
-    words: tuple
+    def read(self, text: str) -> str:
+        """Return the word.
 
-    def read(self, text):
+        Raises:
+            InvalidValueError: The text is none of the words.
+        """
         if text not in self.words:
-            raise Wants("unreadable-value", f"wants {' or '.join(self.words)}, has {text!r}")
+            raise InvalidValueError("unreadable-value", f"wants {' or '.join(self.words)}, has {text!r}")
         return text
 
 
 class Text(NamedTuple):
-    """As it is written: a command for a shell."""
+    """Any text, such as a command for a shell."""
 
-    def read(self, text):
+    def read(self, text: str) -> str:
+        """Return the text as it is written."""
         return text
--- a/valeturn/result_store/options.py
+++ b/valeturn/result_store/options.py
@@ -4,8 +4,8 @@
 
 from typing import NamedTuple
 
-from ..operator_config.schema import REQUIRED, Field, Shape
-from ..operator_config.value_types import Folder, Quantity
+from ..operator_config.schema import REQUIRED, Field, SectionSchema
+from ..operator_config.value_types import AbsolutePath, Quantity
 from . import limits
 
 
@@ -45,15 +45,15 @@
     return options, faults
 
 
-def fit(built, c):
+def check_deployment(built, c):
     """What is wrong with it beside a configuration."""
     return built.fit(c.memory_mb)
 
 
-SHAPE = Shape(
+SCHEMA = SectionSchema(
     "store",
     {
-        "folder": Field(Folder(), REQUIRED),
+        "folder": Field(AbsolutePath(), REQUIRED),
         "disk": Field(Quantity("a size", 1_000_000, 10**12), 256_000_000),
         "memory": Field(Quantity("a size", 2_000_000, 10**11), 32_000_000),
         "segment": Field(Quantity("a size", 65_536, 64_000_000), 4_000_000),
--- a/valeturn/server/commands.py
+++ b/valeturn/server/commands.py
@@ -133,9 +133,11 @@
     from . import components
 
     try:
-        return loader.load_apart(path, c, components.options_modules, receive or loader.receive)
-    except loader.Unusable as unusable:
-        raise configuration.Wrong(str(unusable)) from None
+        return loader.load_in_child_process(
+            path, c, components.options_modules, receive or loader.receive_all
+        )
+    except loader.OperatorConfigError as error:
+        raise configuration.Wrong(str(error)) from None
 
 
 def serve(path=None, verbose=False, settings=None, seams=None):
--- a/valeturn/server/components/__init__.py
+++ b/valeturn/server/components/__init__.py
@@ -16,7 +16,7 @@
     """What is known of a part that is not loaded."""
 
     section: str  # of the operator's file
-    options: str  # the module that has the section's SHAPE and fit(built, configuration)
+    options: str  # the module that has the section's SCHEMA and check_deployment
     part: str  # the module that has its Part
 
 
@@ -55,7 +55,7 @@
     live = False  # `take` carries a changed section out; else it wants a restart
 
     def __init__(self, server, built):
-        """built: what the section's SHAPE made. Opens what must be there before the module starts. Raises
+        """built: what the section's SCHEMA made. Opens what must be there before the module starts. Raises
         configuration.Wrong where the server can't be started with it."""
         self.server, self.built = server, built
 
