--- a/tests/operator_config/conftest.py
+++ b/tests/operator_config/conftest.py
@@ -1,4 +1,4 @@
-"""The options modules of all subsystems, as the server hands them to the loader."""
+"""The options modules of all subsystems, as the server hands them to the loader, and a valid file."""
 
 import pytest
 
@@ -13,3 +13,13 @@
 @pytest.fixture(scope="session")
 def schemas(options_modules):
     return [module.SCHEMA for module in options_modules.values()]
+
+
+@pytest.fixture
+def valid_text():
+    return """# stored results
+[store]
+folder = /tmp/kept   ; made where it is missing
+disk = 64 MB
+retry = 250 ms
+"""
--- a/tests/operator_config/test_loader.py
+++ b/tests/operator_config/test_loader.py
@@ -9,21 +9,16 @@
 from valeturn.operator_config import loader
 from valeturn.server import configuration
 
-VALID_TEXT = """# stored results
-[store]
-folder = /tmp/kept   ; made where it is missing
-disk = 64 MB
-retry = 250 ms
-"""
-
 
 def configuration_with_memory(memory_mb):
     return configuration.decode(CONFIG)._replace(memory_mb=memory_mb)
 
 
-def test_memory_over_the_limit_of_the_process_is_reported_with_its_line(tmp_path, options_modules):
+def test_memory_over_the_limit_of_the_process_is_reported_with_its_line(
+    tmp_path, options_modules, valid_text
+):
     file = tmp_path / "v.ini"
-    file.write_text(VALID_TEXT + "memory = 64 MB\n")
+    file.write_text(valid_text + "memory = 64 MB\n")
     assert (
         loader.load(str(file), configuration_with_memory(192), options_modules).get("store").memory
         == 64_000_000
@@ -36,6 +31,37 @@
         loader.load(str(tmp_path / "none.ini"), configuration_with_memory(96), options_modules)
 
 
+def test_faults_between_sections_are_reported_by_the_modules_that_depend_on_others(tmp_path, options_modules):
+    file = tmp_path / "v.ini"
+    file.write_text("[turns]\n")
+    with pytest.raises(loader.OperatorConfigError) as raised:
+        loader.load(str(file), configuration_with_memory(192), options_modules)
+    assert [(fault.line, fault.rule) for fault in raised.value.faults] == [(1, "no-fleet")]
+    dependent = {name for name, mod in options_modules.items() if isinstance(mod, loader.ChecksSections)}
+    assert dependent == {"turns", "duty"}
+
+
+def test_child_process_returns_the_options_or_the_faults_of_a_file(tmp_path, options_modules, valid_text):
+    file = tmp_path / "v.ini"
+    file.write_text(valid_text)
+    deployment = configuration_with_memory(192)
+    loaded = loader.load_in_child_process(str(file), deployment, lambda: options_modules)
+    assert loaded == loader.load(str(file), deployment, options_modules)
+    file.write_text("[store]\n")
+    with pytest.raises(loader.OperatorConfigError) as raised:
+        loader.load_in_child_process(str(file), deployment, lambda: options_modules)
+    assert [(fault.line, fault.rule) for fault in raised.value.faults] == [(1, "missing-key")]
+
+
+def test_child_process_that_sends_nothing_is_a_fault_of_the_whole_file(tmp_path, options_modules, valid_text):
+    file = tmp_path / "v.ini"
+    file.write_text(valid_text)
+    deployment = configuration_with_memory(192)
+    with pytest.raises(loader.OperatorConfigError) as raised:
+        loader.load_in_child_process(str(file), deployment, lambda: options_modules, lambda connection: b"")
+    assert str(raised.value) == f"{file}: unreadable: its reader ended without a word"
+
+
 def test_check_and_serve_exit_with_the_faults_of_an_invalid_file(tmp_path):
     bad = tmp_path / "v.ini"
     bad.write_text("[store]\nfolder = k\nretry = 5\n")
--- a/tests/operator_config/test_schema.py
+++ b/tests/operator_config/test_schema.py
@@ -8,13 +8,6 @@
 
 from valeturn.operator_config import schema
 
-VALID_TEXT = """# stored results
-[store]
-folder = /tmp/kept   ; made where it is missing
-disk = 64 MB
-retry = 250 ms
-"""
-
 # text -> the (line, rule) of each fault, in order
 FAULTS_BY_TEXT = {
     "[store]\n": [(1, "missing-key")],
@@ -55,8 +48,8 @@
         assert str(fault).startswith(f"v.ini:{fault.line}:") and "\n" not in str(fault)
 
 
-def test_valid_file_gives_values_in_base_units_with_their_places(schemas):
-    options, faults = schema.check(VALID_TEXT, "v.ini", schemas)
+def test_valid_file_gives_values_in_base_units_with_their_places(schemas, valid_text):
+    options, faults = schema.check(valid_text, "v.ini", schemas)
     store = options.get("store")
     assert not faults and (store.folder, store.disk, store.retry, store.segment) == (
         "/tmp/kept",
