--- /dev/null
+++ b/tests/operator_config/test_loader.py
@@ -0,0 +1,89 @@
+"""Loading the operator's file, alone and from the command line."""
+
+import subprocess
+import sys
+
+import pytest
+from program_support import CONFIG, ROOT, command
+
+from valeturn.operator_config import loader
+from valeturn.server import configuration
+
+
+def configuration_with_memory(memory_mb):
+    return configuration.decode(CONFIG)._replace(memory_mb=memory_mb)
+
+
+def test_memory_over_the_limit_of_the_process_is_reported_with_its_line(
+    tmp_path, options_modules, valid_text
+):
+    file = tmp_path / "v.ini"
+    file.write_text(valid_text + "memory = 64 MB\n")
+    assert (
+        loader.load(str(file), configuration_with_memory(192), options_modules).get("store").memory
+        == 64_000_000
+    )
+    with pytest.raises(loader.OperatorConfigError) as raised:
+        loader.load(str(file), configuration_with_memory(80), options_modules)
+    (fault,) = raised.value.faults
+    assert (fault.line, fault.rule) == (6, "over-the-limits") and "52 MB" in fault.text
+    with pytest.raises(loader.OperatorConfigError):
+        loader.load(str(tmp_path / "none.ini"), configuration_with_memory(96), options_modules)
+
+
+def test_faults_between_sections_are_reported_by_the_modules_that_depend_on_others(tmp_path, options_modules):
+    file = tmp_path / "v.ini"
+    file.write_text("[turns]\n")
+    with pytest.raises(loader.OperatorConfigError) as raised:
+        loader.load(str(file), configuration_with_memory(192), options_modules)
+    assert [(fault.line, fault.rule) for fault in raised.value.faults] == [(1, "no-fleet")]
+    dependent = {name for name, mod in options_modules.items() if isinstance(mod, loader.ChecksSections)}
+    assert dependent == {"turns", "duty"}
+
+
+def test_child_process_returns_the_options_or_the_faults_of_a_file(tmp_path, options_modules, valid_text):
+    file = tmp_path / "v.ini"
+    file.write_text(valid_text)
+    deployment = configuration_with_memory(192)
+    loaded = loader.load_in_child_process(str(file), deployment, lambda: options_modules)
+    assert loaded == loader.load(str(file), deployment, options_modules)
+    file.write_text("[store]\n")
+    with pytest.raises(loader.OperatorConfigError) as raised:
+        loader.load_in_child_process(str(file), deployment, lambda: options_modules)
+    assert [(fault.line, fault.rule) for fault in raised.value.faults] == [(1, "missing-key")]
+
+
+def test_child_process_that_sends_nothing_is_a_fault_of_the_whole_file(tmp_path, options_modules, valid_text):
+    file = tmp_path / "v.ini"
+    file.write_text(valid_text)
+    deployment = configuration_with_memory(192)
+    with pytest.raises(loader.OperatorConfigError) as raised:
+        loader.load_in_child_process(str(file), deployment, lambda: options_modules, lambda connection: b"")
+    assert str(raised.value) == f"{file}: unreadable: its reader ended without a word"
+
+
+def test_check_and_serve_exit_with_the_faults_of_an_invalid_file(tmp_path):
+    bad = tmp_path / "v.ini"
+    bad.write_text("[store]\nfolder = k\nretry = 5\n")
+    for words in (("check", "examples/config.json"), ("serve", "--config", "examples/config.json")):
+        done = command(*words, "--settings", str(bad))
+        assert (
+            done.returncode == 2 and done.stderr.count("\n") == 2 and "v.ini:3:9: missing-unit" in done.stderr
+        )
+    bad.write_text("[store]\nfolder = /k\n")
+    done = command("check", "examples/config.json", "--settings", str(bad))
+    assert done.returncode == 0 and "store" in done.stdout
+    assert CONFIG["name"] == "toy"
+
+
+def test_nothing_of_the_package_is_loaded_without_an_operators_file():
+    code = (
+        "import sys; from valeturn.server import server, configuration; from valeturn.server.logs import *;"
+        "import json; c = configuration.decode(json.load(open('examples/config.json')));"
+        "server.Server(c, lambda *_, **__: None);"
+        "heavy = ('lark', 'msgpack', 'blake3', 'google_crc32c', 'valeturn.result_store',"
+        " 'valeturn.operator_config', 'valeturn.lab');"
+        "print([name for name in heavy if name in sys.modules])"
+    )
+    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
+    assert done.stdout.strip() == "[]", done.stdout + done.stderr
--- a/valeturn/server/commands.py
+++ b/valeturn/server/commands.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     import socket
 
-    from ..operator_config.schema import Options
+    from ..operator_config.schema import OperatorConfig
     from .test_overrides import Overrides
 
 EXIT_OK = 0
@@ -44,7 +44,7 @@
     path: str | None,
     loaded: Configuration,
     receive: Callable[[socket.socket], bytes] | None = None,
-) -> Options | None:
+) -> OperatorConfig | None:
     """Read the operator's file, or return None where none is named; then none of its code is loaded.
 
     Args:
@@ -61,10 +61,10 @@
     from . import components
 
     try:
-        receive = receive or loader.receive
-        options: Options = loader.load_apart(path, loaded, components.options_modules, receive)
+        receive = receive or loader.receive_all
+        options: OperatorConfig = loader.load_in_child_process(path, loaded, components.options_modules, receive)
         return options
-    except loader.Unusable as error:
+    except loader.OperatorConfigError as error:
         raise OperatorFileError(str(error)) from None
 
 
@@ -91,7 +91,7 @@
     loaded = configuration.load(path=path)
     options = load_operator_options(settings, loaded)
 
-    def read_again(receive: Callable[[socket.socket], bytes]) -> tuple[Configuration, Options | None]:
+    def read_again(receive: Callable[[socket.socket], bytes]) -> tuple[Configuration, OperatorConfig | None]:
         fresh = configuration.load(path=path)
         return fresh, load_operator_options(settings, fresh, receive)
 
--- a/valeturn/server/reload.py
+++ b/valeturn/server/reload.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     import socket
 
-    from ..operator_config.schema import Options
+    from ..operator_config.schema import OperatorConfig
     from ..transport.scheduler import Scheduler
     from .counters import Counters
     from .logs import Log
@@ -19,7 +19,7 @@
 READ_TIMEOUT = 10.0  # s for the process that reads the operator's file: it takes a tenth of a second
 
 Receive = Callable[["socket.socket"], bytes]
-ReadConfiguration = Callable[[Receive], "tuple[Configuration, Options | None]"]
+ReadConfiguration = Callable[[Receive], "tuple[Configuration, OperatorConfig | None]"]
 
 
 class AppliedChanges(NamedTuple):
@@ -40,7 +40,7 @@
         self,
         scheduler: Scheduler,
         read: ReadConfiguration,
-        apply: Callable[[Configuration, Options | None], AppliedChanges],
+        apply: Callable[[Configuration, OperatorConfig | None], AppliedChanges],
         counters: Counters,
         log: Log,
     ) -> None:
--- a/valeturn/server/server.py
+++ b/valeturn/server/server.py
@@ -30,7 +30,7 @@
 from .test_overrides import Overrides
 
 if TYPE_CHECKING:
-    from ..operator_config.schema import Options
+    from ..operator_config.schema import OperatorConfig
     from .components import Part
     from .logs import Log
 
@@ -56,7 +56,7 @@
         log: Log,
         verbose: bool = False,
         read_configuration: ReadConfiguration | None = None,
-        options: Options | None = None,
+        options: OperatorConfig | None = None,
         overrides: Overrides | None = None,
     ) -> None:
         """Open the components and connect all parts; nothing listens yet.
@@ -92,7 +92,7 @@
             self.scheduler, read, self.apply_configuration, self.counters, log
         )
 
-    def _unchanged_configuration(self, receive: Receive) -> tuple[Configuration, Options | None]:
+    def _unchanged_configuration(self, receive: Receive) -> tuple[Configuration, OperatorConfig | None]:
         return self.configuration, self.options
 
     def _sockets(self) -> int:
@@ -219,7 +219,7 @@
             self.link.check()
             self.scheduler.sleep(CHECK_PERIOD)
 
-    def apply_configuration(self, fresh: Configuration, options: Options | None) -> AppliedChanges:
+    def apply_configuration(self, fresh: Configuration, options: OperatorConfig | None) -> AppliedChanges:
         """Take over the addresses of other parties and what components can change while they run."""
         old = self.configuration
         changed = [field for field in Configuration._fields if getattr(fresh, field) != getattr(old, field)]
@@ -233,7 +233,7 @@
             need_restart.append("settings")
         return AppliedChanges(moved, need_restart)
 
-    def _apply_options(self, options: Options | None) -> bool:
+    def _apply_options(self, options: OperatorConfig | None) -> bool:
         """Hand changed sections to their components: all of them, or none where one needs a restart."""
         old = {} if self.options is None else self.options.sections
         new = {} if options is None else options.sections
