--- a/valeturn/cluster/commands.py
+++ b/valeturn/cluster/commands.py
@@ -6,6 +6,7 @@
 import sys
 
 from ..control import client, requests
+from ..control.status_text import format_cluster_summary
 from . import fencing
 
 STALE = 3  # exit code: another has taken over
@@ -18,7 +19,7 @@
     paths = given["SOCKET"]
     if given["status"]:
         return status(paths, given["--json"])
-    what = next(word for word in requests.FLEET if given[word])
+    what = next(word for word in requests.ClusterAction if given[word])
     if what == "revive" and not given["--i-know"]:
         print(
             "valeturn: revive gives up what a lost majority may have decided; --i-know says that none of its "
@@ -29,7 +30,7 @@
     request = {"do": "fleet", "what": what, "server": given["--to"] or given["NAME"]}
     worst = 0
     for path in paths:
-        got = client.ask(path, request)
+        got = client.send_request(path, request)
         print(
             f"{path}: {'done' if got['good'] else got['why']}", file=sys.stdout if got["good"] else sys.stderr
         )
@@ -41,7 +42,7 @@
     """0 where all answered and know an owner."""
     good = True
     for path in paths:
-        got = client.ask(path, {"do": "status"})
+        got = client.send_request(path, {"do": "status"})
         fleet = got["status"].get("fleet") if got["good"] else None
         if fleet is None:
             print(f"{path}: {got['why'] if not got['good'] else 'in no fleet'}", file=sys.stderr)
@@ -59,7 +60,7 @@
 
 def human(name, fleet):
     lines = [
-        f"{name}: {requests.fleet_line(fleet)}",
+        f"{name}: {format_cluster_summary(fleet)}",
         f"  votes: {', '.join(fleet['voters']) or 'nobody yet'}",
     ]
     for member in fleet["members"]:
--- a/valeturn/control/client.py
+++ b/valeturn/control/client.py
@@ -1,67 +1,96 @@
-"""Asks servers from a shell: `valeturn status`, `valeturn level`."""
+"""Sends control requests to servers from a shell: `valeturn status`, `valeturn metrics`, `valeturn level`."""
 
 from __future__ import annotations
 
 import json
 import socket
 import sys
+from collections.abc import Mapping, Sequence
+from typing import Any
 
-from . import requests
+from .requests import METRICS_FIELDS, RELEASE_LEVEL_FIELDS, STATUS_FIELDS, JsonObject, hold_level_fields
+from .server_status import decode_status
+from .status_text import format_status
 
-PATIENCE = 3.0  # s for an answer
+ANSWER_TIMEOUT_S = 3.0  # a server that runs answers within milliseconds; people wait for one that hangs
+READ_BYTES = 65536  # a status fits into one read
 
 
-def ask(path, request, patience=PATIENCE):
-    """The answer as an object; one that says why there is none, where the server can't be asked."""
+def send_request(path: str, fields: Mapping[str, Any], timeout_s: float = ANSWER_TIMEOUT_S) -> JsonObject:
+    """Send one request to the control socket at a path and return the JSON object of its answer.
+
+    The answer has "good" true with the fields that were asked for, or "good" false and the reason under
+    "why". It has the latter too where the server can't be reached, so that a command over several servers
+    goes on.
+
+    Args:
+        path: The path of the server's control socket.
+        fields: The JSON object of the request.
+        timeout_s: How long each step of the exchange may take, in seconds.
+    """
     try:
-        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
-            sock.settimeout(patience)
-            sock.connect(path)
-            sock.sendall(json.dumps(request).encode() + b"\n")
-            data = b""
-            while not data.endswith(b"\n"):
-                more = sock.recv(65536)
-                if not more:
-                    break
-                data += more
-        return json.loads(data)
+        with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as connection:
+            connection.settimeout(timeout_s)
+            connection.connect(path)
+            connection.sendall(json.dumps(fields).encode() + b"\n")
+            answer: JsonObject = json.loads(_receive_line(connection))
+            return answer
     except (OSError, ValueError) as error:
         return {"good": False, "why": f"can't be asked: {error}"}
 
 
-def status(paths, as_json):
-    """0 where all answered, 1 where one did not."""
-    answers = {path: ask(path, {"do": "status"}) for path in paths}
+def _receive_line(connection: socket.socket) -> bytes:
+    line = b""
+    while not line.endswith(b"\n"):
+        received = connection.recv(READ_BYTES)
+        if not received:
+            break
+        line += received
+    return line
+
+
+def print_status(paths: Sequence[str], as_json: bool) -> int:
+    """Print the status of each server; return the exit code 0 where all answered, else 1."""
+    answers = {path: send_request(path, STATUS_FIELDS) for path in paths}
     if as_json:
-        print(
-            json.dumps(
-                {path: got.get("status", {"why": got.get("why")}) for path, got in answers.items()}, indent=2
-            )
-        )
-    for path, got in answers.items():
-        if not as_json:
-            print(requests.human(path, got["status"]) if got["good"] else f"{path}: {got['why']}")
-    return 0 if all(got["good"] for got in answers.values()) else 1
-
-
-def metrics(path):
-    got = ask(path, {"do": "metrics"})
-    print(
-        got["text"] if got["good"] else got["why"],
-        end="" if got["good"] else "\n",
-        file=sys.stdout if got["good"] else sys.stderr,
-    )
-    return 0 if got["good"] else 1
-
-
-def level(paths, name, seconds):
-    """Holds a level, or frees what is held where there is no name."""
-    request = {"do": "free"} if name is None else {"do": "hold", "level": name, "for": seconds}
-    worst = 0
+        by_path = {path: answer.get("status", {"why": answer.get("why")}) for path, answer in answers.items()}
+        print(json.dumps(by_path, indent=2))
+    else:
+        for path, answer in answers.items():
+            if answer["good"]:
+                print(format_status(path, decode_status(answer["status"])))
+            else:
+                print(f"{path}: {answer['why']}")
+    return 0 if all(answer["good"] for answer in answers.values()) else 1
+
+
+def print_metrics(path: str) -> int:
+    """Print a server's metrics, or on standard error why there are none; return the exit code 0 or 1."""
+    answer = send_request(path, METRICS_FIELDS)
+    if answer["good"]:
+        print(answer["text"], end="")
+        return 0
+    print(answer["why"], file=sys.stderr)
+    return 1
+
+
+def hold_level(paths: Sequence[str], level: str, seconds: float) -> int:
+    """Hold a degradation level on each server; return the exit code 0 where all did so, else 1."""
+    return _send_to_all(paths, hold_level_fields(level, seconds))
+
+
+def release_level(paths: Sequence[str]) -> int:
+    """End a manual hold on each server; return the exit code 0 where all did so, else 1."""
+    return _send_to_all(paths, RELEASE_LEVEL_FIELDS)
+
+
+def _send_to_all(paths: Sequence[str], fields: JsonObject) -> int:
+    exit_code = 0
     for path in paths:
-        got = ask(path, request)
-        print(
-            f"{path}: {'done' if got['good'] else got['why']}", file=sys.stdout if got["good"] else sys.stderr
-        )
-        worst = worst or (0 if got["good"] else 1)
-    return worst
+        answer = send_request(path, fields)
+        if answer["good"]:
+            print(f"{path}: done")
+        else:
+            print(f"{path}: {answer['why']}", file=sys.stderr)
+            exit_code = 1
+    return exit_code
--- a/valeturn/control/commands.py
+++ b/valeturn/control/commands.py
@@ -1,30 +1,39 @@
-"""`valeturn status|metrics|top|level ...`: what is asked of running servers by their control sockets."""
+"""The commands `valeturn status`, `metrics`, `top` and `level`, which ask running servers."""
 
 from __future__ import annotations
 
 import sys
+from collections.abc import Mapping
+from typing import Any
 
 from ..operator_config.value_types import Quantity, Wants
 from . import client
-from .requests import LONGEST_HOLD
-
-
-def run(given):
-    """The exit code for docopt's words."""
-    paths = given["SOCKET"]
-    if given["status"]:
-        return client.status(paths, given["--json"])
-    if given["metrics"]:
-        return client.metrics(paths[0])
-    if given["top"]:
-        from .top import main as top
-
-        return top(paths)
-    if given["free"]:
-        return client.level(paths, None, 0.0)
+from .requests import MAX_LEVEL_HOLD_S
+
+MIN_LEVEL_HOLD_S = 0.1  # a shorter hold would be over before anyone sees it
+EXIT_USAGE = 2  # the command line is wrong
+
+
+def run(arguments: Mapping[str, Any]) -> int:
+    """Carry out a command and return its exit code.
+
+    Args:
+        arguments: The parsed command line, as docopt returns it.
+    """
+    paths = arguments["SOCKET"]
+    if arguments["status"]:
+        return client.print_status(paths, arguments["--json"])
+    if arguments["metrics"]:
+        return client.print_metrics(paths[0])
+    if arguments["top"]:
+        from . import top  # its library is an optional dependency
+
+        return top.run(paths)
+    if arguments["free"]:
+        return client.release_level(paths)
     try:
-        seconds = Quantity("a time", 0.1, LONGEST_HOLD).read(given["--for"])
-    except Wants as wants:
-        print(f"valeturn: --for {wants.args[1]}", file=sys.stderr)
-        return 2
-    return client.level(paths, given["NAME"], seconds)
+        seconds = Quantity("a time", MIN_LEVEL_HOLD_S, MAX_LEVEL_HOLD_S).read(arguments["--for"])
+    except Wants as error:
+        print(f"valeturn: --for {error.args[1]}", file=sys.stderr)
+        return EXIT_USAGE
+    return client.hold_level(paths, arguments["NAME"], seconds)
--- a/valeturn/control/options.py
+++ b/valeturn/control/options.py
@@ -2,30 +2,39 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from collections.abc import Mapping
+from typing import Any, NamedTuple
 
+from ..operator_config.grammar import Fault, Value
 from ..operator_config.schema import REQUIRED, Field, Shape
 from ..operator_config.value_types import Folder
 
-LONGEST_PATH = 100  # bytes of a Unix socket's path: the system takes 107
+MAX_PATH_BYTES = 100  # Linux takes 107 in a Unix socket's address; temporary names need a few
 
 
 class ControlOptions(NamedTuple):
+    """The options of the control socket.
+
+    Attributes:
+        socket: The path of the Unix socket.
+        where: The place of each key in the operator's file, for messages about it.
+    """
+
     socket: str
-    where: dict = {}
+    where: Mapping[str, Value]
 
 
-def build(values, where):
+def build(values: Mapping[str, Any], where: Mapping[str, Value]) -> tuple[ControlOptions, list[Fault]]:
+    """Return the options of a section whose values have the right types, and what is wrong with them."""
     faults = []
-    if len(values["socket"].encode()) > LONGEST_PATH:
-        faults.append(
-            where["socket"].fault("too-long", f"socket wants a path of at most {LONGEST_PATH} bytes")
-        )
-    return ControlOptions(**values, where=where), faults
+    if len(values["socket"].encode()) > MAX_PATH_BYTES:
+        message = f"socket wants a path of at most {MAX_PATH_BYTES} bytes"
+        faults.append(where["socket"].fault("too-long", message))
+    return ControlOptions(socket=values["socket"], where=where), faults
 
 
-def fit(built, c):
-    """Nothing of a configuration speaks against a socket."""
+def fit(options: ControlOptions, configuration: object) -> list[Fault]:
+    """Return what is wrong with the options beside a configuration: nothing, for any configuration."""
     return []
 
 
--- a/valeturn/control/requests.py
+++ b/valeturn/control/requests.py
@@ -1,209 +1,256 @@
-"""Requests and answers: one JSON object a line, both ways. No I/O.
+"""The requests of the control socket and their parser: one JSON object a line, without I/O.
 
-{"do":"status"}                               {"good":true,"status":{...}}
-{"do":"hold","level":"slim","for":300.0}      {"good":true}
-{"do":"free"}                                 {"good":false,"why":"no level is held by hand"}
+{"do":"status"}
+{"do":"hold","level":"slim","for":300.0}
+{"do":"free"}
+
+The words of the JSON objects are a frozen surface: operators' scripts send them.
 """
 
 from __future__ import annotations
 
 import json
 import math
-from typing import NamedTuple
+from collections.abc import Callable
+from enum import StrEnum
+from typing import Any, NamedTuple, TypeAlias, TypeGuard
+
+from .errors import InvalidRequestError
+
+MAX_REQUEST_BYTES = 4096  # a maintenance request with many server names is the longest that is in use
+MAX_LEVEL_HOLD_S = 86400.0  # whatever level is held manually ends within a day, also when it is forgotten
+MAX_MAINTENANCE_S = 86400.0  # work on a machine ends, or is requested anew, within a day
+MAX_NAME_CHARACTERS = 64  # of a server or a singleton task
+FENCING_TOKEN_LIMIT = 2**63  # tokens are below it, so that each fits into a signed 64-bit integer
+
+JsonObject: TypeAlias = dict[str, Any]
+
+STATUS_FIELDS: JsonObject = {"do": "status"}
+METRICS_FIELDS: JsonObject = {"do": "metrics"}
+RELEASE_LEVEL_FIELDS: JsonObject = {"do": "free"}
+
+
+class ClusterAction(StrEnum):
+    """What a cluster request asks for, with its word on the wire and on the command line."""
+
+    TRANSFER_LEADERSHIP = "hand-over"
+    LEAVE = "leave"
+    FORCE_BOOTSTRAP = "revive"
+    ADD_VOTER = "admit"
+    REMOVE_VOTER = "dismiss"
+
+
+class MaintenanceAction(StrEnum):
+    """What a maintenance request asks for, with its word on the wire and on the command line."""
+
+    REQUEST_DRAIN = "out"
+    WITHDRAW = "back"
+    PAUSE_SCHEDULE = "hold"
+    RESUME_SCHEDULE = "go-on"
+
 
-MOST = 4096  # bytes of a request: the longest has a level's name
-LONGEST_HOLD = 86400.0  # s: whatever is held by hand ends within a day
+# These actions are about one server, which must be named.
+ACTIONS_ON_NAMED_SERVER = (ClusterAction.ADD_VOTER, ClusterAction.REMOVE_VOTER)
 
 
-class Status(NamedTuple):
-    pass
+class StatusRequest(NamedTuple):
+    """Asks for the server's status."""
 
 
-class Hold(NamedTuple):
+class MetricsRequest(NamedTuple):
+    """Asks for the metrics in Prometheus's text exposition format."""
+
+
+class HoldLevelRequest(NamedTuple):
+    """Holds a degradation level manually.
+
+    Attributes:
+        level: The name of the level in the operator's file.
+        seconds: How long it is held; above 0 and at most `MAX_LEVEL_HOLD_S`.
+    """
+
     level: str
     seconds: float
 
 
-class Free(NamedTuple):
-    pass
-
+class ReleaseLevelRequest(NamedTuple):
+    """Ends a manual hold of a degradation level."""
 
-class Metrics(NamedTuple):
-    pass
 
+class ClusterRequest(NamedTuple):
+    """Changes a server's role in the cluster.
 
-class Fleet(NamedTuple):
-    """What is asked of a server's part of the fleet."""
+    Attributes:
+        action: What the server shall do.
+        server: The name of the server that it is about, or None where the action needs none.
+    """
 
-    what: str
+    action: ClusterAction
     server: str | None
 
 
-class Turns(NamedTuple):
-    """What is asked about machines that go out for work."""
+class MaintenanceRequest(NamedTuple):
+    """Enqueues servers in the drain schedule, withdraws them, or pauses the schedule.
+
+    Attributes:
+        action: What is asked for.
+        servers: Names of servers; empty for all servers of the zone, or all of the cluster.
+        zone: The zone to which the request is limited, or None.
+        reason: The operator's reason, shown in the schedule.
+        urgent: Whether the servers go ahead of those that are not urgent.
+        work_s: How long the work takes, in seconds from 1 to `MAX_MAINTENANCE_S`; None for the configured
+            time.
+    """
 
-    what: str
-    servers: tuple
+    action: MaintenanceAction
+    servers: tuple[str, ...]
     zone: str | None
-    why: str
+    reason: str
     urgent: bool
-    work: float | None  # s
+    work_s: float | None
 
 
-class Fenced(NamedTuple):
-    """A request under a number that only rises, of one who acts for the fleet."""
+PlainRequest: TypeAlias = (
+    StatusRequest
+    | MetricsRequest
+    | HoldLevelRequest
+    | ReleaseLevelRequest
+    | ClusterRequest
+    | MaintenanceRequest
+)
 
-    name: str
-    number: int
-    request: object
 
+class FencedRequest(NamedTuple):
+    """A request of a singleton task, which is rejected once a later lease holder has been seen.
 
-class Bad(NamedTuple):
-    why: str
+    Attributes:
+        task: The name of the singleton task.
+        token: Its fencing token, which only grows; below `FENCING_TOKEN_LIMIT`.
+        request: What is asked for.
+    """
 
+    task: str
+    token: int
+    request: PlainRequest
 
-FLEET = ("hand-over", "leave", "revive", "admit", "dismiss")
-TURNS = ("out", "back", "hold", "go-on")
-MOST_WORK = 86400.0  # s
-NAMING = ("admit", "dismiss")  # these want a server's name
-PLAIN = {"status": Status, "free": Free, "metrics": Metrics}
 
+ControlRequest: TypeAlias = PlainRequest | FencedRequest
 
-def read(line):
-    """The request of a line, or Bad with what is wrong."""
+
+def hold_level_fields(level: str, seconds: float) -> JsonObject:
+    """Return the JSON object that asks for a level to be held for so many seconds."""
+    return {"do": "hold", "level": level, "for": seconds}
+
+
+def parse_request(line: bytes) -> ControlRequest:
+    """Return the request of one line.
+
+    Raises:
+        InvalidRequestError: The line is no JSON object, or not one that is a request.
+    """
     try:
-        raw = json.loads(line)
-    except (ValueError, RecursionError):
-        return Bad("wants a JSON object on one line")
-    if not isinstance(raw, dict):
-        return Bad("wants a JSON object on one line")
-    request, fence = _request(raw), raw.get("fence")
-    if fence is None or isinstance(request, Bad):
+        fields = json.loads(line)
+    except (ValueError, RecursionError):  # deep nesting exhausts the decoder's stack
+        raise InvalidRequestError("wants a JSON object on one line") from None
+    if not isinstance(fields, dict):
+        raise InvalidRequestError("wants a JSON object on one line")
+    request = _parse_plain_request(fields)
+    fence = fields.get("fence")
+    if fence is None:
         return request
-    pair = isinstance(fence, list) and len(fence) == 2
-    if not (
-        pair
-        and isinstance(fence[0], str)
-        and 0 < len(fence[0]) <= 64
-        and isinstance(fence[1], int)
-        and not isinstance(fence[1], bool)
-        and 0 <= fence[1] < 2**63
-    ):
-        return Bad("fence wants the name of a duty and its number")
-    return Fenced(*fence, request)
-
-
-def _request(raw):
-    what = raw.get("do")
-    if isinstance(what, str) and what in PLAIN:
-        return PLAIN[what]()
-    if what == "hold":
-        level, seconds = raw.get("level"), raw.get("for")
-        if not isinstance(level, str):
-            return Bad("hold wants a level")
-        number = isinstance(seconds, (int, float)) and not isinstance(seconds, bool)
-        if not number or not math.isfinite(seconds) or not 0 < seconds <= LONGEST_HOLD:
-            return Bad(f"for wants seconds up to {LONGEST_HOLD:g}")
-        return Hold(level, float(seconds))
-    if what == "fleet":
-        asked, server = raw.get("what"), raw.get("server")
-        if asked not in FLEET or server is not None and not isinstance(server, str):
-            return Bad(f"what wants one of {', '.join(FLEET)}")
-        if asked in NAMING and not server:
-            return Bad(f"{asked} wants a server")
-        return Fleet(asked, server)
-    if what == "turns":
-        return _turns(raw)
-    return Bad("do wants status, metrics, hold, free, fleet or turns")
-
-
-def _turns(raw):
-    asked, servers, zone, why = raw.get("what"), raw.get("servers", []), raw.get("zone"), raw.get("why", "")
-    work, urgent = raw.get("work"), raw.get("urgent", False)
-    if asked not in TURNS:
-        return Bad(f"what wants one of {', '.join(TURNS)}")
-    names = isinstance(servers, list) and all(isinstance(one, str) and 0 < len(one) <= 64 for one in servers)
-    if not names:
-        return Bad("servers wants a list of names")
-    if not (zone is None or isinstance(zone, str)) or not isinstance(why, str) or urgent not in (True, False):
-        return Bad("zone and why want texts, urgent true or false")
-    number = isinstance(work, (int, float)) and not isinstance(work, bool)
-    if work is not None and not (number and math.isfinite(work) and 1 <= work <= MOST_WORK):
-        return Bad(f"work wants seconds from 1 to {MOST_WORK:g}")
-    return Turns(asked, tuple(servers), zone, why, urgent, work)
-
-
-def good(**more):
-    return (json.dumps({"good": True, **more}, separators=(",", ":")) + "\n").encode()
-
-
-def refused(why):
-    return (json.dumps({"good": False, "why": why}) + "\n").encode()
-
-
-class Lines:
-    """Cuts what is read into lines; None once one is too long."""
-
-    def __init__(self):
-        self.held = bytearray()
-
-    def feed(self, data):
-        self.held += data
-        *whole, rest = bytes(self.held).split(b"\n")
-        if len(rest) > MOST or any(len(line) > MOST for line in whole):
-            return None
-        self.held = bytearray(rest)
-        return whole
-
-
-def fleet_line(fleet):
-    """One line of a server's part of its fleet."""
-    alive = sum(member["state"] in ("alive", "suspected") for member in fleet["members"])
-    left = fleet["lease_left_s"]
-    return (
-        f"fleet {fleet['name']}: {alive} there, owner {fleet['owner'] or 'NONE'}"
-        + ("" if left is None else f" (this server, lease left {left:g} s)")
-        + f", term {fleet['term']}, fence {fleet['fence']}, {fleet['role']}"
-    )
-
-
-def human(name, status):
-    """A server's status for a person: what level and why comes first."""
-    level, out = status.get("level"), status.get("out", {})
-    lines = [
-        f"{name}: {status['name']} {status['version']}, up {status['up_s']:.0f} s"
-        + (", leaving" if status["leaving"] else "")
-    ]
-    if level is None:
-        lines.append("  level: none configured")
-    else:
-        why = f" because {level['why']}" if level["why"] != "-" else ""
-        lines.append(
-            f"  level: {level['now']} for {level['for_s']:.0f} s{why}"
-            + (" (by hand)" if level["state"] == "pinned" else "")
-        )
-    beliefs = status["beliefs"]
-    lines.append(
-        f"  open {beliefs['open']}, owed {beliefs['owed']}, running {beliefs['running']}, "
-        f"at calls {beliefs['at_calls']}, in doubt {beliefs['in_doubt']}, calls out {beliefs['calls_out']}"
-    )
-    lines.append(
-        "  "
-        + (
-            ", ".join(f"{kind.replace('_', ' ')} {count}" for kind, count in sorted(out.items()))
-            or "nothing answered yet"
-        )
-    )
-    lines.append(
-        f"  executor {'up' if beliefs['link_up'] else 'DOWN'}, health "
-        f"{'good' if beliefs['good'] else 'NOT GOOD'}, cpu {100 * beliefs['cpu_share']:.0f} %, "
-        f"connections {beliefs['connections']}"
-    )
-    if status.get("fleet"):
-        lines.append("  " + fleet_line(status["fleet"]))
-    if "kept_keys" in beliefs:
-        lines.append(
-            f"  kept keys {beliefs['kept_keys']}, log {beliefs['kept_log_mb']:.1f} MB, "
-            f"disk {beliefs['kept_disk']}"
-        )
-    return "\n".join(lines)
+    return _parse_fence(fence, request)
+
+
+def _parse_plain_request(fields: JsonObject) -> PlainRequest:
+    kind = fields.get("do")
+    parse = _PARSERS.get(kind) if isinstance(kind, str) else None
+    if parse is None:
+        raise InvalidRequestError("do wants status, metrics, hold, free, fleet or turns")
+    return parse(fields)
+
+
+def _parse_fence(fence: object, request: PlainRequest) -> FencedRequest:
+    if isinstance(fence, list) and len(fence) == 2:  # noqa: PLR2004 - a pair
+        task, token = fence
+        if _is_name(task) and _is_fencing_token(token):
+            return FencedRequest(task, token, request)
+    raise InvalidRequestError("fence wants the name of a duty and its number")
+
+
+def _parse_status(fields: JsonObject) -> StatusRequest:
+    return StatusRequest()
+
+
+def _parse_metrics(fields: JsonObject) -> MetricsRequest:
+    return MetricsRequest()
+
+
+def _parse_release_level(fields: JsonObject) -> ReleaseLevelRequest:
+    return ReleaseLevelRequest()
+
+
+def _parse_hold_level(fields: JsonObject) -> HoldLevelRequest:
+    level = fields.get("level")
+    if not isinstance(level, str):
+        raise InvalidRequestError("hold wants a level")
+    seconds = fields.get("for")
+    if not _is_finite_number(seconds) or not 0 < seconds <= MAX_LEVEL_HOLD_S:
+        raise InvalidRequestError(f"for wants seconds up to {MAX_LEVEL_HOLD_S:g}")
+    return HoldLevelRequest(level, float(seconds))
+
+
+def _parse_cluster(fields: JsonObject) -> ClusterRequest:
+    word = fields.get("what")
+    server = fields.get("server")
+    if word not in list(ClusterAction) or not _is_optional_text(server):
+        raise InvalidRequestError(f"what wants one of {', '.join(ClusterAction)}")
+    action = ClusterAction(word)
+    if action in ACTIONS_ON_NAMED_SERVER and not server:
+        raise InvalidRequestError(f"{action} wants a server")
+    return ClusterRequest(action, server)
+
+
+def _parse_maintenance(fields: JsonObject) -> MaintenanceRequest:
+    word = fields.get("what")
+    if word not in list(MaintenanceAction):
+        raise InvalidRequestError(f"what wants one of {', '.join(MaintenanceAction)}")
+    servers = fields.get("servers", [])
+    if not isinstance(servers, list) or not all(_is_name(name) for name in servers):
+        raise InvalidRequestError("servers wants a list of names")
+    zone = fields.get("zone")
+    reason = fields.get("why", "")
+    urgent = fields.get("urgent", False)
+    if not _is_optional_text(zone) or not isinstance(reason, str) or urgent not in (True, False):
+        raise InvalidRequestError("zone and why want texts, urgent true or false")
+    work_s = fields.get("work")
+    if work_s is not None and not (_is_finite_number(work_s) and 1 <= work_s <= MAX_MAINTENANCE_S):
+        raise InvalidRequestError(f"work wants seconds from 1 to {MAX_MAINTENANCE_S:g}")
+    return MaintenanceRequest(MaintenanceAction(word), tuple(servers), zone, reason, urgent, work_s)
+
+
+def _is_optional_text(value: object) -> bool:
+    return value is None or isinstance(value, str)
+
+
+def _is_name(value: object) -> bool:
+    return isinstance(value, str) and 0 < len(value) <= MAX_NAME_CHARACTERS
+
+
+def _is_fencing_token(value: object) -> bool:
+    # JSON's true and false are integers in Python.
+    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < FENCING_TOKEN_LIMIT
+
+
+def _is_finite_number(value: object) -> TypeGuard[int | float]:
+    # JSON's true and false are integers in Python, and its decoder reads 1e999 as infinity.
+    return isinstance(value, (int, float)) and not isinstance(value, bool) and math.isfinite(value)
+
+
+_PARSERS: dict[str, Callable[[JsonObject], PlainRequest]] = {
+    "status": _parse_status,
+    "metrics": _parse_metrics,
+    "hold": _parse_hold_level,
+    "free": _parse_release_level,
+    "fleet": _parse_cluster,
+    "turns": _parse_maintenance,
+}
--- a/valeturn/control/server.py
+++ b/valeturn/control/server.py
@@ -1,99 +1,170 @@
-"""Serves the control socket on the loop: a few clients, one request at a time each, bounded and timed."""
+"""Serves the control socket on the event loop: a few clients at a time, each limited in bytes and in time."""
 
 from __future__ import annotations
 
+import contextlib
 import errno
 import os
 import socket
 import stat
+from collections.abc import Callable
 
-from ..transport.scheduler import READ
+from ..transport.scheduler import READ, Scheduler
 from ..transport.streams import Stream
-from . import requests
+from .answers import encode_rejection
+from .errors import InvalidRequestError, RequestTooLongError, SocketInUseError
+from .line_splitter import LineSplitter
+from .requests import (
+    ClusterRequest,
+    ControlRequest,
+    FencedRequest,
+    HoldLevelRequest,
+    MaintenanceRequest,
+    MetricsRequest,
+    ReleaseLevelRequest,
+    StatusRequest,
+    parse_request,
+)
 
-CLIENTS = 4  # at a time; more wait in the kernel's queue: these are people and their scripts
-PATIENCE = 10.0  # s for a request, and for the next
+MAX_CLIENTS = 4  # more wait in the kernel's queue: clients are people and their scripts
+READ_TIMEOUT_S = 10.0  # for a request, and for the next one on the same connection
+FULL_POLL_INTERVAL_S = 0.05  # between looks for a free place while `MAX_CLIENTS` are served
+LINGER_S = 0.2  # for a client to read the last answer before its connection is closed
+OWNER_ONLY_UMASK = 0o177  # leaves mode 0600: only the server's own user may connect
 
+REQUEST_COUNTERS: dict[type[ControlRequest], str] = {
+    StatusRequest: "control.status",
+    MetricsRequest: "control.metrics",
+    HoldLevelRequest: "control.hold_level",
+    ReleaseLevelRequest: "control.release_level",
+    ClusterRequest: "control.cluster",
+    MaintenanceRequest: "control.maintenance",
+    FencedRequest: "control.fenced",
+}
 
-class InUse(Exception):
-    """Another process listens on that path."""
 
+def open_listening_socket(path: str) -> socket.socket:
+    """Return a listening Unix socket to which only the server's own user may connect.
 
-def listen(path):
-    """A listening Unix socket that its owner alone may use. One that a killed server left is replaced;
-    anything else that lies there is not touched. Raises InUse or OSError."""
-    sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-    before = os.umask(0o177)
+    A socket that a killed server left behind is replaced; any other file at the path is not touched.
+
+    Raises:
+        SocketInUseError: Another process listens at the path.
+        OSError: The path can't be used.
+    """
+    listener = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+    previous_umask = os.umask(OWNER_ONLY_UMASK)
     try:
-        try:
-            sock.bind(path)
-        except OSError as error:
-            if error.errno != errno.EADDRINUSE or not stat.S_ISSOCK(os.lstat(path).st_mode):
-                raise
-            if alive(path):
-                raise InUse(path) from None
-            os.unlink(path)
-            sock.bind(path)
-        sock.listen(CLIENTS)
-        sock.setblocking(False)
+        _bind(listener, path)
+        listener.listen(MAX_CLIENTS)
+        listener.setblocking(False)
     except BaseException:
-        sock.close()
+        listener.close()
         raise
     finally:
-        os.umask(before)
-    return sock
+        os.umask(previous_umask)
+    return listener
+
+
+def _bind(listener: socket.socket, path: str) -> None:
+    try:
+        listener.bind(path)
+    except OSError as error:
+        if error.errno != errno.EADDRINUSE or not stat.S_ISSOCK(os.lstat(path).st_mode):
+            raise
+        if accepts_connections(path):
+            raise SocketInUseError(path) from None
+        os.unlink(path)
+        listener.bind(path)
 
 
-def alive(path):
-    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as probe:
+def accepts_connections(path: str) -> bool:
+    """Return whether a process listens on the Unix socket at a path."""
+    with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as connection:
         try:
-            probe.connect(path)
+            connection.connect(path)
         except OSError:
             return False
         return True
 
 
-class Control:
-    def __init__(self, scheduler, path, answer, count):
-        """answer(request) -> bytes, for a request that could be read."""
-        self.scheduler, self.path, self.answer, self.count = scheduler, path, answer, count
-        self.clients, self.sock = 0, listen(path)
-        scheduler.spawn(self.run, name="control")
+class ControlServer:
+    """Accepts clients of the control socket and answers their requests, one after the other for each client.
 
-    def run(self):
-        while self.sock.fileno() >= 0:
-            if self.clients >= CLIENTS:
-                self.scheduler.sleep(0.05)
-            elif self.scheduler.wait_fd(self.sock.fileno(), READ):
-                try:
-                    client, _ = self.sock.accept()
-                except OSError:
-                    continue
-                self.clients += 1
-                self.scheduler.spawn(self.serve, Stream(self.scheduler, client), name="control_client")
-
-    def serve(self, stream):
-        lines = requests.Lines()
+    Attributes:
+        client_count: How many clients are connected.
+    """
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        path: str,
+        answer: Callable[[ControlRequest], bytes],
+        count: Callable[[str], None],
+    ) -> None:
+        """Open the socket and start a task that accepts clients.
+
+        Args:
+            scheduler: The event loop.
+            path: The path of the Unix socket.
+            answer: Returns the encoded answer to a valid request; it must not wait.
+            count: Adds one to the counter of that name.
+
+        Raises:
+            SocketInUseError: Another process listens at the path.
+            OSError: The path can't be used.
+        """
+        self.scheduler = scheduler
+        self.path = path
+        self.answer = answer
+        self.count = count
+        self.client_count = 0
+        self.listener = open_listening_socket(path)
+        scheduler.spawn(self._accept_clients, name="control")
+
+    def close(self) -> None:
+        """Stop accepting clients and remove the socket's path."""
+        self.scheduler.closing(self.listener.fileno())
+        self.listener.close()
+        with contextlib.suppress(OSError):  # the path may be gone already
+            os.unlink(self.path)
+
+    def _accept_clients(self) -> None:
+        while self.listener.fileno() >= 0:
+            if self.client_count >= MAX_CLIENTS:
+                self.scheduler.sleep(FULL_POLL_INTERVAL_S)
+            elif self.scheduler.wait_fd(self.listener.fileno(), READ):
+                self._accept_client()
+
+    def _accept_client(self) -> None:
         try:
-            while isinstance(got := stream.read(PATIENCE), bytes):
-                whole = lines.feed(got)
-                if whole is None:
-                    self.count("control.too_long")
-                    stream.write(requests.refused("a request has at most 4096 bytes"))
+            connection, _ = self.listener.accept()
+        except OSError:  # the client has gone again, or the process is out of file descriptors
+            return
+        self.client_count += 1
+        self.scheduler.spawn(self._serve_client, Stream(self.scheduler, connection), name="control_client")
+
+    def _serve_client(self, stream: Stream) -> None:
+        splitter = LineSplitter()
+        try:
+            while isinstance(received := stream.read(READ_TIMEOUT_S), bytes):
+                try:
+                    lines = splitter.feed(received)
+                except RequestTooLongError as error:
+                    self.count("control.request_too_long")
+                    stream.write(encode_rejection(error.reason))
                     break
-                for line in whole:
-                    request = requests.read(line)
-                    bad = isinstance(request, requests.Bad)
-                    self.count("control.bad" if bad else "control." + type(request).__name__.lower())
-                    stream.write(requests.refused(request.why) if bad else self.answer(request))
+                for line in lines:
+                    stream.write(self._answer_line(line))
         finally:
-            self.clients -= 1
-            stream.lingering_close(0.2)
+            self.client_count -= 1
+            stream.lingering_close(LINGER_S)
 
-    def close(self):
-        self.scheduler.closing(self.sock.fileno())
-        self.sock.close()
+    def _answer_line(self, line: bytes) -> bytes:
         try:
-            os.unlink(self.path)
-        except OSError:
-            pass
+            request = parse_request(line)
+        except InvalidRequestError as error:
+            self.count("control.invalid_request")
+            return encode_rejection(error.reason)
+        self.count(REQUEST_COUNTERS[type(request)])
+        return self.answer(request)
--- /dev/null
+++ b/valeturn/control/server_status.py
@@ -0,0 +1,140 @@
+"""Decodes the status of a server, as its control socket returns it, into named values.
+
+The keys of the JSON object are a frozen surface; `valeturn status` and `valeturn top` read them through this
+module.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any, NamedTuple
+
+NO_REASON = "-"  # what stands for the reason of a level that has none
+NO_LEVEL = "none"  # the name of the level at which everything is served
+
+
+class LevelStatus(NamedTuple):
+    """The degradation level of a server.
+
+    Attributes:
+        name: The level's name in the operator's file, or `NO_LEVEL`.
+        seconds: For how long the server has been at it.
+        reason: Which signals led to it, or `NO_REASON`.
+        held_manually: Whether an operator holds it.
+    """
+
+    name: str
+    seconds: float
+    reason: str
+    held_manually: bool
+
+
+class RequestCounts(NamedTuple):
+    """How many requests a server has in each state at the moment.
+
+    Attributes:
+        pending: Requests whose record is still open.
+        unanswered: Requests whose caller has no final answer yet.
+        running: Requests that an executor works on.
+        at_downstream_calls: Running requests that wait for the shared dependency.
+        in_doubt: Requests of which is not known whether they took effect.
+        downstream_calls: Calls on the shared dependency that have no answer yet.
+    """
+
+    pending: int
+    unanswered: int
+    running: int
+    at_downstream_calls: int
+    in_doubt: int
+    downstream_calls: int
+
+
+class ResultStoreStatus(NamedTuple):
+    """The result store of a server.
+
+    Attributes:
+        keys: How many idempotency keys have a stored result.
+        log_mb: The size of its log on disk in megabytes.
+        disk: The state of the disk.
+    """
+
+    keys: int
+    log_mb: float
+    disk: str
+
+
+class ServerStatus(NamedTuple):
+    """What the commands show of one server.
+
+    Attributes:
+        name: The server's name.
+        version: The version of valeturn that it runs.
+        uptime_s: Seconds since its start.
+        draining: Whether it shuts down gracefully.
+        level: Its degradation level, or None where none are configured.
+        outcomes: How many requests had each outcome since the start, by the outcome's word on the wire.
+        requests: How many requests are in each state.
+        executor_connected: Whether its executor can be reached.
+        healthy: Whether it advertises good health to its balancer.
+        cpu_share: The share of its cores that is busy, from 0 to 1.
+        connections: How many connections of gateways are open.
+        cluster: The JSON object with its view of the cluster, or None where it is in none.
+        result_store: Its result store, or None where none is configured.
+    """
+
+    name: str
+    version: str
+    uptime_s: float
+    draining: bool
+    level: LevelStatus | None
+    outcomes: Mapping[str, int]
+    requests: RequestCounts
+    executor_connected: bool
+    healthy: bool
+    cpu_share: float
+    connections: int
+    cluster: Mapping[str, Any] | None
+    result_store: ResultStoreStatus | None
+
+
+def decode_status(status: Mapping[str, Any]) -> ServerStatus:
+    """Return the named values of a status' JSON object.
+
+    Raises:
+        KeyError: The object lacks a key that each server sends.
+    """
+    gauges = status["beliefs"]
+    return ServerStatus(
+        name=status["name"],
+        version=status["version"],
+        uptime_s=status["up_s"],
+        draining=bool(status["leaving"]),
+        level=_decode_level(status.get("level")),
+        outcomes=status.get("out", {}),
+        requests=RequestCounts(
+            pending=gauges["open"],
+            unanswered=gauges["owed"],
+            running=gauges["running"],
+            at_downstream_calls=gauges["at_calls"],
+            in_doubt=gauges["in_doubt"],
+            downstream_calls=gauges["calls_out"],
+        ),
+        executor_connected=bool(gauges["link_up"]),
+        healthy=bool(gauges["good"]),
+        cpu_share=gauges["cpu_share"],
+        connections=gauges["connections"],
+        cluster=status.get("fleet") or None,
+        result_store=_decode_result_store(gauges),
+    )
+
+
+def _decode_level(level: Mapping[str, Any] | None) -> LevelStatus | None:
+    if level is None:
+        return None
+    return LevelStatus(level["now"], level["for_s"], level["why"], level["state"] == "pinned")
+
+
+def _decode_result_store(gauges: Mapping[str, Any]) -> ResultStoreStatus | None:
+    if "kept_keys" not in gauges:
+        return None
+    return ResultStoreStatus(gauges["kept_keys"], gauges["kept_log_mb"], gauges["kept_disk"])
--- a/valeturn/control/top.py
+++ b/valeturn/control/top.py
@@ -1,14 +1,20 @@
-"""`valeturn top`: several servers at a glance, asked once a second. An extra: pip install -r
-requirements-terminal.txt."""
+"""`valeturn top`: the status of several servers in one table that is refreshed every second.
+
+It needs an optional dependency: `pip install -r requirements-terminal.txt`.
+"""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import Iterable, Sequence
+from typing import Any
 
-from textual.app import App
+from textual.app import App, ComposeResult
 from textual.widgets import DataTable, Footer, Static
 
-from .client import ask
+from .client import send_request
+from .requests import STATUS_FIELDS, JsonObject
+from .server_status import NO_LEVEL, ServerStatus, decode_status
 
 COLUMNS = (
     "server",
@@ -26,89 +32,127 @@
     "owner",
     "state",
 )
-EVERY = 1.0  # s between looks
-
-
-def row(path, got, before, seconds):
-    """What is shown of one server; before: the status of the look before, for what happens a second."""
-    if not got.get("good"):
-        return [path] + [""] * (len(COLUMNS) - 2) + [got.get("why", "no answer")[:60]]
-    now, beliefs, level = got["status"], got["status"]["beliefs"], got["status"]["level"]
-
-    def rate(kind):
-        if before is None or seconds <= 0:
-            return "-"
-        grown = now["out"].get(kind, 0) - before["out"].get(kind, 0)
-        return f"{max(0, grown) / seconds:.1f}"
-
-    state = (
-        "leaving"
-        if now["leaving"]
-        else "executor down"
-        if not beliefs["link_up"]
-        else ("not good" if not beliefs["good"] else "good")
-    )
+REFRESH_INTERVAL_S = 1.0  # people read no faster, and each refresh costs every server a status
+MAX_REASON_CHARACTERS = 60  # of the reason why a server can't be reached, so that the table stays narrow
+
+
+def status_row(
+    path: str, answer: JsonObject, status: ServerStatus | None, previous: ServerStatus | None
+) -> list[str]:
+    """Return the cells of one server's row, in the order of `COLUMNS`.
+
+    Args:
+        path: The path of the server's control socket.
+        answer: The answer to the status request.
+        status: The status in that answer, or None where there is none.
+        previous: The status at the refresh before, for rates a second; None where there was none.
+    """
+    if status is None:
+        reason = answer.get("why", "no answer")[:MAX_REASON_CHARACTERS]
+        return [path, *[""] * (len(COLUMNS) - 2), reason]
+    level = status.level
+    counts = status.requests
+    store = status.result_store
+    leader = status.cluster.get("owner") if status.cluster is not None else None
     return [
-        now["name"],
-        level["now"] if level else "-",
-        f"{level['for_s']:.0f}" if level else "-",
-        str(beliefs["open"]),
-        str(beliefs["owed"]),
-        str(beliefs["running"]),
-        str(beliefs["at_calls"]),
-        rate("delivered"),
-        rate("turned_back"),
-        rate("written_off"),
-        f"{100 * beliefs['cpu_share']:.0f}",
-        str(beliefs.get("kept_keys", "-")),
-        (now.get("fleet") or {}).get("owner") or "-",
-        state,
+        status.name,
+        level.name if level is not None else "-",
+        f"{level.seconds:.0f}" if level is not None else "-",
+        str(counts.pending),
+        str(counts.unanswered),
+        str(counts.running),
+        str(counts.at_downstream_calls),
+        format_rate("delivered", status, previous),
+        format_rate("turned_back", status, previous),
+        format_rate("written_off", status, previous),
+        f"{100 * status.cpu_share:.0f}",
+        str(store.keys) if store is not None else "-",
+        leader or "-",
+        server_state(status),
     ]
 
 
-def whys(answers):
-    """Why each server that is at a level is there."""
+def format_rate(outcome: str, status: ServerStatus, previous: ServerStatus | None) -> str:
+    """Return how many requests a second had an outcome since the refresh before, or "-" where it is unknown.
+
+    A server that was restarted in between counts from zero again; its rate is shown as unknown or 0.
+    """
+    if previous is None:
+        return "-"
+    elapsed_s = status.uptime_s - previous.uptime_s
+    if elapsed_s <= 0:
+        return "-"
+    grown = status.outcomes.get(outcome, 0) - previous.outcomes.get(outcome, 0)
+    return f"{max(0, grown) / elapsed_s:.1f}"
+
+
+def server_state(status: ServerStatus) -> str:
+    """Return the most important thing about a server's state in one or two words."""
+    if status.draining:
+        return "leaving"
+    if not status.executor_connected:
+        return "executor down"
+    return "good" if status.healthy else "not good"
+
+
+def level_reasons(statuses: Iterable[ServerStatus | None]) -> str:
+    """Return a line for each server at a degradation level that says why it is there."""
     lines = [
-        f"{got['status']['name']}: {got['status']['level']['now']} because {got['status']['level']['why']}"
-        for got in answers
-        if got.get("good") and got["status"]["level"] and got["status"]["level"]["now"] != "none"
+        f"{status.name}: {status.level.name} because {status.level.reason}"
+        for status in statuses
+        if status is not None and status.level is not None and status.level.name != NO_LEVEL
     ]
     return "\n".join(lines) or "no server is at a level of reduced service"
 
 
-class Top(App):
+def status_of(answer: JsonObject) -> ServerStatus | None:
+    """Return the status in an answer, or None where the server could not be reached."""
+    return decode_status(answer["status"]) if answer.get("good") else None
+
+
+class StatusTableApp(App[None]):
+    """The terminal application.
+
+    Attributes:
+        paths: The control sockets of the servers.
+        previous: The status of each server at the last refresh, by path.
+    """
+
     TITLE = "valeturn"
     BINDINGS = [("q", "quit", "Quit")]
 
-    def __init__(self, paths):
+    def __init__(self, paths: Sequence[str]) -> None:
         super().__init__()
-        self.paths, self.before = paths, {}
+        self.paths = paths
+        self.previous: dict[str, ServerStatus | None] = {}
 
-    def compose(self):
+    def compose(self) -> ComposeResult:
+        """Yield the table, the reasons below it and the footer with the keys."""
         yield DataTable(cursor_type="none")
         yield Static(id="why")
         yield Footer()
 
-    async def on_mount(self):
+    async def on_mount(self) -> None:
+        """Show the first statuses at once and refresh them from then on."""
         self.query_one(DataTable).add_columns(*COLUMNS)
-        self.set_interval(EVERY, self.look)
-        await self.look()
+        self.set_interval(REFRESH_INTERVAL_S, self.refresh_table)
+        await self.refresh_table()
 
-    async def look(self):
+    async def refresh_table(self) -> None:
+        """Ask all servers at once and show what they answer."""
         answers = await asyncio.gather(
-            *(asyncio.to_thread(ask, path, {"do": "status"}) for path in self.paths)
+            *(asyncio.to_thread(send_request, path, STATUS_FIELDS) for path in self.paths)
         )
-        table = self.query_one(DataTable)
+        statuses = [status_of(answer) for answer in answers]
+        table: DataTable[Any] = self.query_one(DataTable)
         table.clear()
-        for path, got in zip(self.paths, answers):
-            status = got.get("status")
-            before = self.before.get(path)
-            seconds = status["up_s"] - before["up_s"] if status and before else 0.0
-            table.add_row(*row(path, got, before, seconds))
-            self.before[path] = status
-        self.query_one("#why", Static).update(whys(answers))
+        for path, answer, status in zip(self.paths, answers, statuses, strict=True):
+            table.add_row(*status_row(path, answer, status, self.previous.get(path)))
+            self.previous[path] = status
+        self.query_one("#why", Static).update(level_reasons(statuses))
 
 
-def main(paths):
-    Top(paths).run()
+def run(paths: Sequence[str]) -> int:
+    """Show the servers until the user quits; return the exit code 0."""
+    StatusTableApp(paths).run()
     return 0
--- a/valeturn/maintenance/commands.py
+++ b/valeturn/maintenance/commands.py
@@ -14,7 +14,9 @@
 
 def seconds(given, name):
     """Of an option, or None. Raises Wants."""
-    return None if given[name] is None else Quantity("a time", 1.0, requests.MOST_WORK).read(given[name])
+    if given[name] is None:
+        return None
+    return Quantity("a time", 1.0, requests.MAX_MAINTENANCE_S).read(given[name])
 
 
 def run(given):
@@ -22,7 +24,7 @@
     path = given["SOCKET"][0] if isinstance(given["SOCKET"], list) else given["SOCKET"]
     if given["turns"]:
         return show(path, given["--json"])
-    what = next(word for word in requests.TURNS if given[word])
+    what = next(word for word in requests.MaintenanceAction if given[word])
     try:
         work, wait = seconds(given, "--work"), seconds(given, "--wait")
     except Wants as wants:
@@ -37,7 +39,7 @@
         "why": given["--for"] or "",
         "urgent": bool(given["--urgent"]),
     }
-    got = client.ask(path, {**request, **({} if work is None else {"work": work})}, 10.0)
+    got = client.send_request(path, {**request, **({} if work is None else {"work": work})}, 10.0)
     if not got["good"]:
         print(f"{path}: {got['why']}", file=sys.stderr)
         return REFUSED
@@ -46,7 +48,7 @@
 
 
 def turns_of(path):
-    got = client.ask(path, {"do": "status"})
+    got = client.send_request(path, {"do": "status"})
     return got["status"].get("turns") if got["good"] else None
 
 
--- a/valeturn/server/components/cluster.py
+++ b/valeturn/server/components/cluster.py
@@ -4,7 +4,7 @@
 
 from ...cluster.node import Fleet
 from ...cluster.vote_file import Refused
-from ...control import requests
+from ...control import answers, requests
 from ..configuration import Wrong
 from . import Part as Base
 
@@ -48,14 +48,14 @@
 
     def answer(self, request):
         fleet = self.fleet
-        if isinstance(request, requests.Fenced):
-            if fleet.fences.passes("control." + request.name, request.number):
+        if isinstance(request, requests.FencedRequest):
+            if fleet.fences.passes("control." + request.task, request.token):
                 return None
-            return requests.refused(
-                f"{request.number} is lower than {fleet.fences.seen['control.' + request.name]}, "
+            return answers.encode_rejection(
+                f"{request.token} is lower than {fleet.fences.seen['control.' + request.task]}, "
                 "which was seen here: another has taken over"
             )
-        if not isinstance(request, requests.Fleet):
+        if not isinstance(request, requests.ClusterRequest):
             return None
         why = {
             "hand-over": lambda: fleet.hand_over(request.server),
@@ -63,6 +63,6 @@
             "revive": fleet.revive,
             "admit": lambda: fleet.change_voters("admit", request.server),
             "dismiss": lambda: fleet.change_voters("dismiss", request.server),
-        }[request.what]()
-        self.server.counters.add("fleet.asked." + request.what.replace("-", "_"))
-        return requests.good() if why is None else requests.refused(why)
+        }[request.action]()
+        self.server.counters.add("fleet.asked." + request.action.replace("-", "_"))
+        return answers.encode_success() if why is None else answers.encode_rejection(why)
--- a/valeturn/server/components/control.py
+++ b/valeturn/server/components/control.py
@@ -2,16 +2,17 @@
 
 from __future__ import annotations
 
-from ...control import requests
-from ...control.server import Control, InUse
+from ...control import answers, requests
+from ...control.errors import SocketInUseError
+from ...control.server import ControlServer
 from . import Part as Base
 
 NO_PART = {
-    requests.Metrics: "no metrics are configured",
-    requests.Hold: "no levels are configured",
-    requests.Free: "no levels are configured",
-    requests.Fleet: "this server is in no fleet",
-    requests.Turns: "no turns are configured",
+    requests.MetricsRequest: "no metrics are configured",
+    requests.HoldLevelRequest: "no levels are configured",
+    requests.ReleaseLevelRequest: "no levels are configured",
+    requests.ClusterRequest: "this server is in no fleet",
+    requests.MaintenanceRequest: "no turns are configured",
 }
 
 
@@ -21,23 +22,24 @@
     def start(self):
         server = self.server
         try:
-            self.control = Control(server.scheduler, self.built.socket, self.reply, server.counters.add)
-        except (InUse, OSError) as error:  # a server without its control socket serves all the same
-            server.counters.add("control.not_open")
-            server.log("control_not_open", {"socket": self.built.socket, "why": str(error)})
+            self.control = ControlServer(server.scheduler, self.built.socket, self.reply, server.counters.add)
+        except (SocketInUseError, OSError) as error:  # a server without its control socket serves all the same
+            server.counters.add("control.listen_failed")
+            server.log("control_listen_failed", {"socket": self.built.socket, "reason": str(error)})
 
     def reply(self, request):
-        if isinstance(request, requests.Status):
-            return requests.good(status=self.server.status())
-        if isinstance(request, requests.Fenced):
+        if isinstance(request, requests.StatusRequest):
+            return answers.encode_success(status=self.server.status())
+        if isinstance(request, requests.FencedRequest):
             fleet = self.server.parts.get("fleet")
-            stale = requests.refused("this server is in no fleet") if fleet is None else fleet.answer(request)
-            return stale or self.reply(request.request)
+            if fleet is None:
+                return answers.encode_rejection("this server is in no fleet")
+            return fleet.answer(request) or self.reply(request.request)
         for part in self.server.parts.values():
             answer = part.answer(request)
             if answer is not None:
                 return answer
-        return requests.refused(NO_PART[type(request)])
+        return answers.encode_rejection(NO_PART[type(request)])
 
     def drained(self):
         if self.control is not None:
--- a/valeturn/server/components/degradation.py
+++ b/valeturn/server/components/degradation.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ...control import requests
+from ...control import answers, requests
 from ...degradation.options import make
 from ...dispatch.degradation_monitor import Reducing
 from ...dispatch.messages import Told
@@ -36,14 +36,14 @@
     def answer(self, request):
         """Nothing about submissions is decided here: a level is held as a condition would enter it."""
         now = self.server.scheduler.clock()
-        if isinstance(request, requests.Hold):
+        if isinstance(request, requests.HoldLevelRequest):
             told, why = self.reducing.hold(now, request.level, request.seconds), f"no level {request.level}"
-        elif isinstance(request, requests.Free):
+        elif isinstance(request, requests.ReleaseLevelRequest):
             told, why = self.reducing.free(now), "no level is held by hand"
         else:
             return None
         if told is None:
-            return requests.refused(why)
+            return answers.encode_rejection(why)
         for event in told:
             self.server.core.mailbox.push(Told(event))
-        return requests.good()
+        return answers.encode_success()
--- a/valeturn/server/components/maintenance.py
+++ b/valeturn/server/components/maintenance.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ...control import requests
+from ...control import answers, requests
 from ...degradation.controller import CALM
 from ...maintenance.coordinator import Measured, Turns
 from . import Part as Base
@@ -74,18 +74,18 @@
         return {"turns": None if self.turns is None else self.turns.status()}
 
     def answer(self, request):
-        if not isinstance(request, requests.Turns) or self.turns is None:
+        if not isinstance(request, requests.MaintenanceRequest) or self.turns is None:
             return None
         names = self.named(request)
         why = {
             "out": lambda: self.turns.ask(
-                names, request.why, request.urgent, request.work or self.built.work
+                names, request.reason, request.urgent, request.work_s or self.built.work
             ),
             "back": lambda: self.turns.take_back(names),
             "hold": lambda: self.turns.hold(True),
             "go-on": lambda: self.turns.hold(False),
-        }[request.what]()
-        return requests.good(servers=names) if why is None else requests.refused(why)
+        }[request.action]()
+        return answers.encode_success(servers=names) if why is None else answers.encode_rejection(why)
 
     def named(self, request):
         """Those of a zone, or all that are there, where no names are given."""
--- a/valeturn/server/components/metrics.py
+++ b/valeturn/server/components/metrics.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ...control import requests
+from ...control import answers, requests
 from ...metrics.text import Metrics
 from . import Part as Base
 
@@ -23,6 +23,6 @@
             self.server.scheduler.sleep(self.built.every)
 
     def answer(self, request):
-        if isinstance(request, requests.Metrics):
-            return requests.good(text=self.metrics.text().decode())
+        if isinstance(request, requests.MetricsRequest):
+            return answers.encode_success(text=self.metrics.text().decode())
         return None
