--- a/tests/control/test_control_commands.py
+++ b/tests/control/test_control_commands.py
@@ -3,6 +3,8 @@
 import asyncio
 import json
 import os
+import pathlib
+import subprocess
 
 from program_support import command
 
@@ -22,17 +24,17 @@
 """
 
 
-def test_running_server_reports_status_and_metrics_and_holds_a_level(tmp_path):
+def test_running_server_reports_status_and_metrics_and_holds_a_level(tmp_path: pathlib.Path) -> None:
     path = str(tmp_path / "c.sock")
     lane = restarts.Lane(tmp_path / "lane", 1, 1, 0)
 
-    async def play():
+    async def play() -> None:
         await lane.set_up()
         lane.settings.write_text(lane.settings.read_text() + CONTROL_METRICS_AND_LEVEL.format(socket=path))
         await lane.start()
         loop = asyncio.get_running_loop()
 
-        async def run(*words):
+        async def run(*words: str) -> subprocess.CompletedProcess[str]:
             return await loop.run_in_executor(None, lambda: command(*words))
 
         gateway = restarts.Gateway(lane.address, 1, lane)
@@ -43,7 +45,9 @@
                 break
             await asyncio.sleep(0.02)
         done = await run("status", path)
-        assert done.returncode == 0 and "level: none" in done.stdout and "delivered 1" in done.stdout, done
+        assert done.returncode == 0, done
+        assert "level: none" in done.stdout, done
+        assert "delivered 1" in done.stdout, done
         assert (await run("level", "hold", "slim", "--for", "30", path)).returncode == 2, "no unit"
         assert (await run("level", "hold", "odd", "--for", "5min", path)).returncode == 1
         assert (await run("level", "hold", "slim", "--for", "5min", path)).returncode == 0
@@ -55,10 +59,11 @@
         assert held == ["turned back", "delivered", "delivered"]
         assert (status["level"]["now"], status["level"]["state"]) == ("slim", "pinned")
         text = (await run("metrics", path)).stdout
-        assert 'valeturn_level{level="slim"} 1.0' in text and "valeturn_link_up 1.0" in text
+        assert 'valeturn_level{level="slim"} 1.0' in text
+        assert "valeturn_link_up 1.0" in text
         assert 'valeturn_events_total{group="out",name="delivered"}' in text
         await asyncio.sleep(1.2)
-        assert 'valeturn_level{level="slim"} 1.0' in open(path + ".prom", encoding="utf-8").read()
+        assert 'valeturn_level{level="slim"} 1.0' in pathlib.Path(path + ".prom").read_text(encoding="utf-8")
         assert (await run("level", "free", path)).returncode == 0
         assert (await run("level", "free", path)).returncode == 1, "nothing is held"
         assert (await gateway.once("k9", "quote", 1.0)).outcome == "delivered"
@@ -72,4 +77,5 @@
     asyncio.run(play())
     log = (tmp_path / "lane" / "log").read_text()
     assert 'event=level server=lab from=none to=slim why="by hand for 300 s"' in log
-    assert "from=slim to=none" in log and not os.path.exists(path)
+    assert "from=slim to=none" in log
+    assert not os.path.exists(path)
--- /dev/null
+++ b/tests/control/test_control_options.py
@@ -0,0 +1,26 @@
+"""The section [control] of the operator's file."""
+
+import pytest
+
+from valeturn.control import options
+from valeturn.operator_config import schema
+
+
+@pytest.mark.parametrize(
+    ("length", "texts"),
+    [
+        (100, []),
+        (101, ["f:2:10: too-long: socket wants a path of at most 100 bytes"]),
+    ],
+)
+def test_socket_s_path_must_fit_into_its_address(length: int, texts: list[str]) -> None:
+    path = "/" + "x" * (length - 1)
+    _, faults = schema.check(f"[control]\nsocket = {path}\n", "f", [options.SHAPE])
+    assert [str(fault) for fault in faults] == texts
+
+
+def test_socket_s_path_is_the_section_s_option() -> None:
+    loaded, faults = schema.check("[control]\nsocket = /run/s\n", "f", [options.SHAPE])
+    assert faults == []
+    assert loaded.get("control").socket == "/run/s"
+    assert options.fit(loaded.get("control"), object()) == []
--- a/valeturn/metrics/__init__.py
+++ b/valeturn/metrics/__init__.py
@@ -1,2 +1,4 @@
-"""Metrics in Prometheus's text format, through its client library, which is loaded only where they are
-switched on."""
+"""Metrics in Prometheus's text exposition format.
+
+The client library is loaded only where the operator's file has a section [metrics].
+"""
--- a/valeturn/metrics/options.py
+++ b/valeturn/metrics/options.py
@@ -2,38 +2,62 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from collections.abc import Mapping
+from typing import Any, NamedTuple, Protocol
 
+from ..operator_config.grammar import Fault, Value
 from ..operator_config.schema import REQUIRED, Field, Shape
 from ..operator_config.value_types import Folder, Quantity
 
-LIBRARY = 14_000_000  # bytes that the client library takes in the server
+CLIENT_LIBRARY_BYTES = 14_000_000  # the memory that Prometheus's client library takes in the server
+# The library may take at most half of what the process may take beyond these bytes.
+MEMORY_WITHOUT_METRICS_BYTES = 20_000_000
+MIN_INTERVAL_S = 1.0
+MAX_INTERVAL_S = 3600.0
+DEFAULT_INTERVAL_S = 15.0  # how often Prometheus reads metrics in its own examples
+
+
+class MemoryLimit(Protocol):
+    """The part of a configuration that these options must fit."""
+
+    @property
+    def memory_mb(self) -> float:
+        """The memory that the process may take, in megabytes."""
 
 
 class MetricsOptions(NamedTuple):
-    file: (
-        str  # replaced whole, for a node's own collector of text files; also asked for on the control socket
-    )
+    """The options of the metrics.
+
+    Attributes:
+        file: The path of the file that is replaced with the latest metrics.
+        every: The interval between two replacements, in seconds.
+        where: The place of each key in the operator's file, for messages about it.
+    """
+
+    file: str
     every: float
-    where: dict = {}
-
-    def fit(self, memory_mb):
-        if memory_mb * 1e6 < 2 * LIBRARY + 20e6:
-            return [
-                self.where["file"].fault(
-                    "over-the-limits", f"metrics take 14 MB of limits.memory_mb = {memory_mb:g}"
-                )
-            ]
-        return []
+    where: Mapping[str, Value]
+
 
+def build(values: Mapping[str, Any], where: Mapping[str, Value]) -> tuple[MetricsOptions, list[Fault]]:
+    """Return the options of a section whose values have the right types; nothing more can be wrong here."""
+    return MetricsOptions(file=values["file"], every=values["every"], where=where), []
 
-def fit(built, c):
-    """What is wrong with it beside a configuration."""
-    return built.fit(c.memory_mb)
+
+def fit(options: MetricsOptions, configuration: MemoryLimit) -> list[Fault]:
+    """Return what is wrong with the options beside a configuration: too little memory for the library."""
+    memory_mb = configuration.memory_mb
+    if memory_mb * 1e6 >= 2 * CLIENT_LIBRARY_BYTES + MEMORY_WITHOUT_METRICS_BYTES:
+        return []
+    message = f"metrics take 14 MB of limits.memory_mb = {memory_mb:g}"
+    return [options.where["file"].fault("over-the-limits", message)]
 
 
 SHAPE = Shape(
     "metrics",
-    {"file": Field(Folder(), REQUIRED), "every": Field(Quantity("a time", 1.0, 3600.0), 15.0)},
-    lambda values, where: (MetricsOptions(**values, where=where), []),
+    {
+        "file": Field(Folder(), REQUIRED),
+        "every": Field(Quantity("a time", MIN_INTERVAL_S, MAX_INTERVAL_S), DEFAULT_INTERVAL_S),
+    },
+    build,
 )
