--- a/tests/control/test_control_options.py
+++ b/tests/control/test_control_options.py
@@ -22,5 +22,5 @@
 def test_socket_s_path_is_the_section_s_option() -> None:
     loaded, faults = schema.check("[control]\nsocket = /run/s\n", "f", [options.SHAPE])
     assert faults == []
-    assert loaded.get("control").socket == "/run/s"
+    assert loaded.get("control").socket_path == "/run/s"
     assert options.fit(loaded.get("control"), object()) == []
--- a/tests/metrics/test_metrics_options.py
+++ b/tests/metrics/test_metrics_options.py
@@ -13,8 +13,8 @@
 def test_interval_has_a_default() -> None:
     loaded, faults = schema.check(SECTION, "f", [options.SHAPE])
     assert faults == []
-    assert loaded.get("metrics").file == "/var/lib/metrics.prom"
-    assert loaded.get("metrics").every == 15.0
+    assert loaded.get("metrics").file_path == "/var/lib/metrics.prom"
+    assert loaded.get("metrics").interval_s == 15.0
 
 
 @pytest.mark.parametrize(
--- a/valeturn/control/client.py
+++ b/valeturn/control/client.py
@@ -12,8 +12,8 @@
 from .server_status import decode_status
 from .status_text import format_status
 
-ANSWER_TIMEOUT_S = 3.0  # a server that runs answers within milliseconds; people wait for one that hangs
-READ_BYTES = 65536  # a status fits into one read
+ANSWER_TIMEOUT_S = 3.0  # long enough for a busy event loop, short for a person who waits
+READ_BYTES = 65536  # at most, in one read
 
 
 def send_request(path: str, fields: Mapping[str, Any], timeout_s: float = ANSWER_TIMEOUT_S) -> JsonObject:
--- a/valeturn/control/options.py
+++ b/valeturn/control/options.py
@@ -9,28 +9,28 @@
 from ..operator_config.schema import REQUIRED, Field, Shape
 from ..operator_config.value_types import Folder
 
-MAX_PATH_BYTES = 100  # Linux takes 107 in a Unix socket's address; temporary names need a few
+MAX_PATH_BYTES = 100  # Linux takes 107 in a Unix socket's address
 
 
 class ControlOptions(NamedTuple):
     """The options of the control socket.
 
     Attributes:
-        socket: The path of the Unix socket.
-        where: The place of each key in the operator's file, for messages about it.
+        socket_path: The path of the Unix socket.
+        value_places: The place of each key in the operator's file, for messages about it.
     """
 
-    socket: str
-    where: Mapping[str, Value]
+    socket_path: str
+    value_places: Mapping[str, Value]
 
 
-def build(values: Mapping[str, Any], where: Mapping[str, Value]) -> tuple[ControlOptions, list[Fault]]:
+def build(values: Mapping[str, Any], value_places: Mapping[str, Value]) -> tuple[ControlOptions, list[Fault]]:
     """Return the options of a section whose values have the right types, and what is wrong with them."""
     faults = []
     if len(values["socket"].encode()) > MAX_PATH_BYTES:
         message = f"socket wants a path of at most {MAX_PATH_BYTES} bytes"
-        faults.append(where["socket"].fault("too-long", message))
-    return ControlOptions(socket=values["socket"], where=where), faults
+        faults.append(value_places["socket"].fault("too-long", message))
+    return ControlOptions(values["socket"], value_places), faults
 
 
 def fit(options: ControlOptions, configuration: object) -> list[Fault]:
--- a/valeturn/control/top.py
+++ b/valeturn/control/top.py
@@ -75,7 +75,8 @@
 def format_rate(outcome: str, status: ServerStatus, previous: ServerStatus | None) -> str:
     """Return how many requests a second had an outcome since the refresh before, or "-" where it is unknown.
 
-    A server that was restarted in between counts from zero again; its rate is shown as unknown or 0.
+    A server that was restarted in between counts from zero again: its rate is unknown where its uptime has
+    become shorter, and never below 0.
     """
     if previous is None:
         return "-"
--- a/valeturn/metrics/options.py
+++ b/valeturn/metrics/options.py
@@ -29,19 +29,19 @@
     """The options of the metrics.
 
     Attributes:
-        file: The path of the file that is replaced with the latest metrics.
-        every: The interval between two replacements, in seconds.
-        where: The place of each key in the operator's file, for messages about it.
+        file_path: The path of the file that is replaced with the latest metrics.
+        interval_s: The interval between two replacements, in seconds.
+        value_places: The place of each key in the operator's file, for messages about it.
     """
 
-    file: str
-    every: float
-    where: Mapping[str, Value]
+    file_path: str
+    interval_s: float
+    value_places: Mapping[str, Value]
 
 
-def build(values: Mapping[str, Any], where: Mapping[str, Value]) -> tuple[MetricsOptions, list[Fault]]:
+def build(values: Mapping[str, Any], value_places: Mapping[str, Value]) -> tuple[MetricsOptions, list[Fault]]:
     """Return the options of a section whose values have the right types; nothing more can be wrong here."""
-    return MetricsOptions(file=values["file"], every=values["every"], where=where), []
+    return MetricsOptions(values["file"], values["every"], value_places), []
 
 
 def fit(options: MetricsOptions, configuration: MemoryLimit) -> list[Fault]:
@@ -50,7 +50,7 @@
     if memory_mb * 1e6 >= 2 * CLIENT_LIBRARY_BYTES + MEMORY_WITHOUT_METRICS_BYTES:
         return []
     message = f"metrics take 14 MB of limits.memory_mb = {memory_mb:g}"
-    return [options.where["file"].fault("over-the-limits", message)]
+    return [options.value_places["file"].fault("over-the-limits", message)]
 
 
 SHAPE = Shape(
--- a/valeturn/server/components/control.py
+++ b/valeturn/server/components/control.py
@@ -22,10 +22,12 @@
     def start(self):
         server = self.server
         try:
-            self.control = ControlServer(server.scheduler, self.built.socket, self.reply, server.counters.add)
-        except (SocketInUseError, OSError) as error:  # a server without its control socket serves all the same
+            self.control = ControlServer(
+                server.scheduler, self.built.socket_path, self.reply, server.counters.add
+            )
+        except (SocketInUseError, OSError) as error:  # the server serves without it
             server.counters.add("control.listen_failed")
-            server.log("control_listen_failed", {"socket": self.built.socket, "reason": str(error)})
+            server.log("control_listen_failed", {"socket": self.built.socket_path, "reason": str(error)})
 
     def reply(self, request):
         if isinstance(request, requests.StatusRequest):
--- a/valeturn/server/components/metrics.py
+++ b/valeturn/server/components/metrics.py
@@ -15,12 +15,12 @@
     def write(self):
         while True:
             try:
-                self.metrics.write_file(self.built.file)
+                self.metrics.write_file(self.built.file_path)
                 self.server.counters.add("metrics.written")
             except OSError as error:
                 self.server.counters.add("metrics.write_failed")
-                self.server.log("metrics_write_failed", {"file": self.built.file, "reason": str(error)})
-            self.server.scheduler.sleep(self.built.every)
+                self.server.log("metrics_write_failed", {"file": self.built.file_path, "reason": str(error)})
+            self.server.scheduler.sleep(self.built.interval_s)
 
     def answer(self, request):
         if isinstance(request, requests.MetricsRequest):
