--- a/valeturn/control/options.py
+++ b/valeturn/control/options.py
@@ -2,30 +2,39 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from collections.abc import Mapping
+from typing import Any, NamedTuple
 
+from ..operator_config.grammar import Fault, LocatedValue
 from ..operator_config.schema import REQUIRED, Field, SectionSchema
 from ..operator_config.value_types import AbsolutePath
 
-LONGEST_PATH = 100  # bytes of a Unix socket's path: the system takes 107
+MAX_PATH_BYTES = 100  # Linux takes 107 in a Unix socket's address
 
 
 class ControlOptions(NamedTuple):
-    socket: str
-    where: dict = {}
+    """The options of the control socket.
 
+    Attributes:
+        socket_path: The path of the Unix socket.
+        value_places: The place of each key in the operator's file, for messages about it.
+    """
 
-def build(values, where):
+    socket_path: str
+    value_places: Mapping[str, LocatedValue]
+
+
+def build(values: Mapping[str, Any], value_places: Mapping[str, LocatedValue]) -> tuple[ControlOptions, list[Fault]]:
+    """Return the options of a section whose values have the right types, and what is wrong with them."""
     faults = []
-    if len(values["socket"].encode()) > LONGEST_PATH:
-        faults.append(
-            where["socket"].fault("too-long", f"socket wants a path of at most {LONGEST_PATH} bytes")
-        )
-    return ControlOptions(**values, where=where), faults
+    if len(values["socket"].encode()) > MAX_PATH_BYTES:
+        message = f"socket wants a path of at most {MAX_PATH_BYTES} bytes"
+        faults.append(value_places["socket"].fault("too-long", message))
+    return ControlOptions(values["socket"], value_places), faults
 
 
-def check_deployment(built, c):
-    """Nothing of a configuration speaks against a socket."""
+def check_deployment(options: ControlOptions, configuration: object) -> list[Fault]:
+    """Return what is wrong with the options beside a configuration: nothing, for any configuration."""
     return []
 
 
