--- a/tests/degradation/test_degradation.py
+++ b/tests/degradation/test_degradation.py
@@ -13,7 +13,7 @@
 from valeturn.admission.controller import MEMORY_RUN, Rules
 from valeturn.degradation import controller as d
 from valeturn.degradation import reachability
-from valeturn.degradation.conditions import Kind
+from valeturn.degradation.conditions import ConditionType
 from valeturn.degradation.options import fit, make
 from valeturn.degradation.signals import Signals
 from valeturn.dispatch import messages as msg
@@ -30,7 +30,7 @@
 
 
 def condition(text):
-    return Kind().read(text)
+    return ConditionType().read(text)
 
 
 def levels(stay=2.0):
@@ -154,7 +154,7 @@
     told = [(f.line, f.rule, f.text) for f in broken(text)]
     assert [row[:2] for row in told] == ([] if why is None else [(3, "never-reached")])
     assert why is None or why in told[0][2]
-    assert reachability.MEMORY_MOST == MEMORY_RUN
+    assert reachability.MEMORY_MAXIMUM == MEMORY_RUN
 
 
 def test_signals_that_a_deployment_does_not_have_are_told():
@@ -336,13 +336,13 @@
 
 def test_signals_are_missing_while_too_little_is_known_and_old_ones_go():
     signals = Signals(0.0)
-    signals.call_ended(0.0, 0.1, False)
+    signals.record_call(0.0, 0.1, False)
     assert signals.read(0.0)["calls.latency"] is None
     for n in range(5):
-        signals.call_ended(0.1, 0.3, n == 0)
+        signals.record_call(0.1, 0.3, n == 0)
     read = signals.read(0.1)
     assert 0.2 < read["calls.latency"] < 0.3 and 0.1 < read["calls.failing"] < 0.2
-    signals.gauged(0.1, 0.9, None)
+    signals.record_gauges(0.1, 0.9, None)
     assert signals.read(0.5)["cores.busy"] == 0.9 and signals.read(0.5)["memory"] is None
     assert signals.read(2.0)["cores.busy"] is None and signals.read(9.0)["calls.latency"] is None
 
--- a/tests/digests/degradation.py
+++ b/tests/digests/degradation.py
@@ -8,7 +8,7 @@
 import random
 from collections.abc import Callable
 
-from valeturn.degradation.conditions import Kind
+from valeturn.degradation.conditions import ConditionType
 from valeturn.degradation.controller import CALM, IN, PINNED, TRIAL, Decision, Level
 from valeturn.degradation.signals import Signals
 from valeturn.operator_config.value_types import Wants
@@ -52,10 +52,10 @@
     """Read texts and record how each is understood and told."""
     read = []
     for text in texts:
-        condition = Kind().read(text)
+        condition = ConditionType().read(text)
         record(str(condition))
-        record([[list(one) for one in row] for row in condition.rows])
-        record([list(one) for one in condition.ones()])
+        record([[list(one) for one in row] for row in condition.conjunctions])
+        record([list(one) for one in condition.comparisons()])
         read.append(condition)
     return read
 
@@ -64,7 +64,7 @@
     """Record how unreadable conditions are refused."""
     for text in UNREADABLE:
         try:
-            record([list(row[0]) for row in Kind().read(text).rows])
+            record([list(row[0]) for row in ConditionType().read(text).conjunctions])
         except Wants as error:
             record(list(error.args))
 
@@ -95,12 +95,12 @@
         """Feed one sweep's worth to the signals."""
         chance = self.chance
         for _ in range(self.count):
-            signals.call_ended(now, self.latency * chance.uniform(0.8, 1.2), chance.random() < self.failing)
-            signals.arrived(now, self.wait * chance.uniform(0.8, 1.2))
+            signals.record_call(now, self.latency * chance.uniform(0.8, 1.2), chance.random() < self.failing)
+            signals.record_request(now, self.wait * chance.uniform(0.8, 1.2))
             if chance.random() < self.back:
-                signals.turned_back(now)
+                signals.record_rejection(now)
         if self.gauges and chance.random() < 0.5:
-            signals.gauged(now, self.busy, chance.choice([self.memory, self.memory, None]))
+            signals.record_gauges(now, self.busy, chance.choice([self.memory, self.memory, None]))
 
 
 def generated_levels(chance: random.Random, enters: list, leaves: list) -> list[Level]:
@@ -147,18 +147,18 @@
         load.feed(now, signals)
         read = signals.read(now)
         if decision.at is None:
-            signals.learn(now, read)
+            signals.learn_baselines(now, read)
         else:
-            signals.rest(now)
+            signals.skip_learning(now)
         kind = chance.random()
         if kind < 0.008:
             record(by_hand(chance, decision, now))
         elif kind < 0.012 or kind < 0.04 and decision.state in (TRIAL, PINNED):
             decision.put(generated_levels(chance, enters, leaves))
         cold = chance.random() < 0.1
-        record(plain(decision.step(now, read, signals.usual, cold)))
+        record(plain(decision.step(now, read, signals.baselines, cold)))
         record([STATES.index(decision.state), decision.at, decision.spared(now)])
         if step % 20 == 0:
             record(list(read.values()))
-            record(list(signals.usual.values()))
+            record(list(signals.baselines.values()))
             record(list(decision.factor.values()))
--- a/valeturn/degradation/conditions.py
+++ b/valeturn/degradation/conditions.py
@@ -1,144 +1,220 @@
-"""Conditions of a level: `calls.latency > 3 x usual for 2 s`, joined by `and` or `or`, read by a grammar.
+"""Conditions that enter and leave a degradation level, such as `calls.latency > 3 x usual for 2 s`.
 
-A comparison's value has the unit of its signal, and one of another kind is named, as 2.5 ms for 2.5 s is.
+A condition is a disjunction of conjunctions of comparisons: `and` binds stronger than `or`. Each value has
+the unit of its signal; a value in the unit of another family is rejected with the family that it belongs to.
 """
 
 from __future__ import annotations
 
 import functools
-from typing import NamedTuple
+from collections.abc import Mapping, Sequence
+from typing import Any, NamedTuple
 
 from ..operator_config.value_types import FAMILIES, Wants
 
-# Signal -> the family of its unit, and the most that it can be. What it is made of stands in signals.py.
+# The families of units that signals are measured in, under the names of the operator's file.
+TIME = "a time"
+RATIO = "a share"
+
+
+class SignalRange(NamedTuple):
+    """The unit and the largest value of a signal.
+
+    Attributes:
+        family: The family of the signal's units.
+        maximum: The largest value in the family's base unit: seconds, or a ratio from 0 to 1.
+    """
+
+    family: str
+    maximum: float
+
+
+# The signals by the names that the operator's file gives them; signals.py measures them.
 SIGNALS = {
-    "calls.latency": ("a time", 3600.0),
-    "calls.failing": ("a share", 1.0),
-    "cores.busy": ("a share", 1.0),
-    "unread.wait": ("a time", 3600.0),
-    "memory": ("a share", 1.0),
-    "turned_back": ("a share", 1.0),
+    "calls.latency": SignalRange(TIME, 3600.0),
+    "calls.failing": SignalRange(RATIO, 1.0),
+    "cores.busy": SignalRange(RATIO, 1.0),
+    "unread.wait": SignalRange(TIME, 3600.0),
+    "memory": SignalRange(RATIO, 1.0),
+    "turned_back": SignalRange(RATIO, 1.0),
 }
-LONGEST = 600.0  # s that a condition may have to hold: past ten minutes it is a matter for people
+# Seconds that a comparison may have to hold. After ten minutes of overload an operator decides, no threshold.
+MAX_HOLD_DURATION = 600.0
 
 GRAMMAR = r"""
-    any: all ("or" all)*
-    all: one ("and" one)*
-    one: SIGNAL COMPARED value lasting?
-    value: NUMBER UNIT? -> plain
-         | NUMBER "x" "usual" -> usual
-    lasting: "for" NUMBER UNIT
+    condition: conjunction ("or" conjunction)*
+    conjunction: comparison ("and" comparison)*
+    comparison: SIGNAL OPERATOR value hold_duration?
+    value: NUMBER UNIT? -> absolute
+         | NUMBER "x" "usual" -> relative
+    hold_duration: "for" NUMBER UNIT
     SIGNAL: /[a-z][a-z_]*(\.[a-z_]+)?/
-    COMPARED: ">" | "<"
+    OPERATOR: ">" | "<"
     NUMBER: /\d+(\.\d*)?|\.\d+/
     UNIT: /%|(?!(and|or|for|x)\b)\/?[A-Za-z]+/
     %ignore /[ \t]+/
 """
 
+# The readings of one sweep by signal; None where a signal is missing or stale.
+Readings = Mapping[str, float | None]
+# The learnt normal values by signal; a signal without one is absent.
+Baselines = Mapping[str, float]
+
 
-class One(NamedTuple):
-    """A comparison; `usual` means that the value counts times the signal's usual one."""
+class Comparison(NamedTuple):
+    """A comparison of one signal with a threshold.
+
+    Attributes:
+        signal: The name of the signal, a key of `SIGNALS`.
+        above: Whether the signal must be above the threshold; otherwise it must be below.
+        value: The threshold in the signal's base unit, or a multiple of the baseline.
+        relative: Whether `value` is a multiple of the signal's baseline.
+        hold_duration: Seconds for which the comparison must hold without interruption.
+    """
 
     signal: str
     above: bool
     value: float
-    usual: bool
-    lasting: float  # s for which it must hold
-
-    def holds(self, read, usual):
-        """True, False, or None where the signal is missing or old, or its usual value is not known yet."""
-        now, most = read.get(self.signal), self.value
-        if self.usual:
-            before = usual.get(self.signal)
-            most = None if before is None else self.value * before
-        if now is None or most is None:
+    relative: bool
+    hold_duration: float
+
+    def holds(self, readings: Readings, baselines: Baselines) -> bool | None:
+        """Return whether the comparison holds now, or None where the signal or its baseline is unknown."""
+        reading = readings.get(self.signal)
+        threshold: float | None = self.value
+        if self.relative:
+            baseline = baselines.get(self.signal)
+            threshold = None if baseline is None else self.value * baseline
+        if reading is None or threshold is None:
             return None
-        return now > most if self.above else now < most
-
-    def __str__(self):
-        family = SIGNALS[self.signal][0]
-        text = (
-            f"{self.value:g} x usual"
-            if self.usual
-            else (f"{100 * self.value:g} %" if family == "a share" else f"{self.value:g} s")
-        )
-        return f"{self.signal} {'>' if self.above else '<'} {text}" + (
-            f" for {self.lasting:g} s" if self.lasting else ""
-        )
+        return reading > threshold if self.above else reading < threshold
+
+    def __str__(self) -> str:
+        """Return the comparison in the syntax of the operator's file."""
+        if self.relative:
+            threshold = f"{self.value:g} x usual"
+        elif SIGNALS[self.signal].family == RATIO:
+            threshold = f"{100 * self.value:g} %"
+        else:
+            threshold = f"{self.value:g} s"
+        suffix = f" for {self.hold_duration:g} s" if self.hold_duration else ""
+        return f"{self.signal} {'>' if self.above else '<'} {threshold}{suffix}"
 
 
 class Condition(NamedTuple):
-    """Any of some rows of comparisons that must all hold."""
+    """A disjunction of conjunctions of comparisons.
+
+    Attributes:
+        conjunctions: The alternatives; all comparisons of one of them must hold.
+    """
 
-    rows: tuple
+    conjunctions: tuple[tuple[Comparison, ...], ...]
 
-    def ones(self):
-        return [one for row in self.rows for one in row]
+    def comparisons(self) -> list[Comparison]:
+        """Return all comparisons in the order in which they are written."""
+        return [comparison for conjunction in self.conjunctions for comparison in conjunction]
 
-    def __str__(self):
-        return " or ".join(" and ".join(map(str, row)) for row in self.rows)
+    def __str__(self) -> str:
+        """Return the condition in the syntax of the operator's file."""
+        return " or ".join(" and ".join(map(str, conjunction)) for conjunction in self.conjunctions)
 
 
 @functools.cache
-def _parser():
+def _parser() -> Any:  # noqa: ANN401 - the parser's type would load lark at import
+    # Loading lark takes a while, which a server without degradation levels should not spend.
     from lark import Lark
 
-    return Lark(GRAMMAR, start="any", parser="lalr")
+    return Lark(GRAMMAR, start="condition", parser="lalr")
 
 
-def _with_unit(number, unit, family, what):
-    units = FAMILIES[family]
+def _in_base_unit(number: str, unit: str | None, family: str, subject: str) -> float:
+    """Return a number with a unit of `family` in the family's base unit."""
+    families: Mapping[str, Any] = FAMILIES
+    units: Mapping[str, float] = families[family]
     if unit is None:
         raise Wants(
-            "missing-unit", f"{what}: wants {family} with its unit ({', '.join(units)}), has {number}"
+            "missing-unit", f"{subject}: wants {family} with its unit ({', '.join(units)}), has {number}"
         )
     if unit not in units:
-        other = next((name for name, known in FAMILIES.items() if unit in known), "no unit")
+        other = next((name for name, known in families.items() if unit in known), "no unit")
         raise Wants(
-            "wrong-unit", f"{what}: wants {family} ({', '.join(units)}), has {number} {unit}, {other}"
+            "wrong-unit", f"{subject}: wants {family} ({', '.join(units)}), has {number} {unit}, {other}"
         )
     return float(number) * units[unit]
 
 
-def _one(tree):
-    signal, compared, value, *lasting = tree.children
-    signal = str(signal)
+def _relative_value(signal: str, number: str) -> float:
+    """Return the multiple of the baseline that a signal is compared with."""
+    if SIGNALS[signal].family != TIME:
+        raise Wants("no-usual", f"{signal} is a share: it has no usual value")
+    value = float(number)
+    if value <= 0:
+        raise Wants("out-of-range", f"{signal}: {value:g} x usual is never passed")
+    return value
+
+
+def _absolute_value(signal: str, operator: str, words: Sequence[str]) -> float:
+    """Return the threshold that a signal is compared with, in its base unit."""
+    family, maximum = SIGNALS[signal]
+    value = _in_base_unit(words[0], words[1] if len(words) > 1 else None, family, signal)
+    never_above = operator == ">" and value >= maximum
+    never_below = operator == "<" and value <= 0
+    if not 0 <= value <= maximum or never_above or never_below:
+        raise Wants("never-holds", f"{signal} {operator} {' '.join(words)} can never hold")
+    return value
+
+
+def _hold_duration(words: Sequence[str]) -> float:
+    """Return the seconds of a `for` clause."""
+    seconds = _in_base_unit(words[0], words[1], TIME, "for")
+    if seconds > MAX_HOLD_DURATION:
+        raise Wants("out-of-range", f"for {seconds:g} s is over {MAX_HOLD_DURATION:g} s")
+    return seconds
+
+
+def _words(tree: Any) -> list[str]:  # noqa: ANN401 - a tree of lark, which is loaded on first use
+    return [str(token) for token in tree.children]
+
+
+def _comparison(tree: Any) -> Comparison:  # noqa: ANN401 - a tree of lark, which is loaded on first use
+    signal_token, operator_token, value, *hold = tree.children
+    signal = str(signal_token)
+    operator = str(operator_token)
     if signal not in SIGNALS:
         raise Wants("unknown-signal", f"{signal}; known: {', '.join(SIGNALS)}")
-    family, most = SIGNALS[signal]
-    if value.data == "usual":
-        if family != "a time":
-            raise Wants("no-usual", f"{signal} is a share: it has no usual value")
-        number = float(value.children[0])
-        if number <= 0:
-            raise Wants("out-of-range", f"{signal}: {number:g} x usual is never passed")
+    relative = value.data == "relative"
+    if relative:
+        threshold = _relative_value(signal, str(value.children[0]))
     else:
-        words = [str(token) for token in value.children]
-        number = _with_unit(words[0], words[1] if len(words) > 1 else None, family, signal)
-        if not 0 <= number <= most or compared == ">" and number >= most or compared == "<" and number <= 0:
-            raise Wants("never-holds", f"{signal} {compared} {' '.join(words)} can never hold")
-    seconds = 0.0
-    if lasting:
-        words = [str(token) for token in lasting[0].children]
-        seconds = _with_unit(words[0], words[1], "a time", "for")
-        if seconds > LONGEST:
-            raise Wants("out-of-range", f"for {seconds:g} s is over {LONGEST:g} s")
-    return One(signal, compared == ">", number, value.data == "usual", seconds)
-
-
-class Kind(NamedTuple):
-    """The kind of value for the operator's file."""
-
-    def read(self, text):
+        threshold = _absolute_value(signal, operator, _words(value))
+    hold_duration = _hold_duration(_words(hold[0])) if hold else 0.0
+    return Comparison(signal, operator == ">", threshold, relative, hold_duration)
+
+
+class ConditionType(NamedTuple):
+    """The value type of a condition in the operator's file."""
+
+    def read(self, text: str) -> Condition:
+        """Parse a condition.
+
+        Raises:
+            Wants: The text is no condition, or a comparison in it names an unknown signal, a wrong unit or a
+                threshold that can never be passed.
+        """
         from lark.exceptions import UnexpectedInput
 
         try:
             tree = _parser().parse(text)
         except UnexpectedInput as error:
-            at = getattr(error, "column", 0)
+            column = getattr(error, "column", 0)
             raise Wants(
                 "unreadable-condition",
                 "wants SIGNAL > VALUE for TIME, joined by and / or; not read "
-                f"from character {max(1, at)} of {text!r}",
+                f"from character {max(1, column)} of {text!r}",
             ) from None
-        return Condition(tuple(tuple(_one(one) for one in row.children) for row in tree.children))
+        return Condition(
+            tuple(
+                tuple(_comparison(comparison) for comparison in conjunction.children)
+                for conjunction in tree.children
+            )
+        )
--- a/valeturn/degradation/controller.py
+++ b/valeturn/degradation/controller.py
@@ -84,11 +84,11 @@
         self.since, self.seen = {}, {}  # comparison -> since when it holds; (when, what) was last known
 
     def met(self, now, read, usual):
-        return any(all([self._one(now, one, read, usual) for one in row]) for row in self.condition.rows)
+        return any(all([self._one(now, one, read, usual) for one in row]) for row in self.condition.conjunctions)
 
     def begins(self, read, usual):
         """True where a row of comparisons holds at this moment, however long it has to."""
-        return any(all(one.holds(read, usual) for one in row) for row in self.condition.rows)
+        return any(all(one.holds(read, usual) for one in row) for row in self.condition.conjunctions)
 
     def _one(self, now, one, read, usual):
         holds = one.holds(read, usual)
@@ -103,7 +103,7 @@
         if not holds:
             self.since.pop(one, None)
             return False
-        return now - self.since.setdefault(one, now) >= one.lasting
+        return now - self.since.setdefault(one, now) >= one.hold_duration
 
 
 class Decision:
--- a/valeturn/degradation/options.py
+++ b/valeturn/degradation/options.py
@@ -7,9 +7,9 @@
 from ..admission.interface import Reduced
 from ..operator_config.schema import REQUIRED, Field, Shape
 from ..operator_config.value_types import Quantity, Switch, Wants, Whole
-from .conditions import Kind
+from .conditions import ConditionType
 from .controller import Level
-from .reachability import unreached
+from .reachability import why_unreachable
 
 
 class Names(NamedTuple):
@@ -56,9 +56,9 @@
         options.turn_back,
     ) == ((), 1.0, False, 0.0, ()):
         faults.append(where["rank"].fault("gives-nothing", "the level gives nothing up"))
-    for enter in options.enter.ones():
-        for leave in options.leave.ones():
-            if enter.signal != leave.signal or enter.usual != leave.usual:
+    for enter in options.enter.comparisons():
+        for leave in options.leave.comparisons():
+            if enter.signal != leave.signal or enter.relative != leave.relative:
                 continue
             if enter.above == leave.above:
                 faults.append(
@@ -80,8 +80,8 @@
     "level",
     {
         "rank": Field(Whole(1, 9), REQUIRED),
-        "enter": Field(Kind(), REQUIRED),
-        "leave": Field(Kind(), REQUIRED),
+        "enter": Field(ConditionType(), REQUIRED),
+        "leave": Field(ConditionType(), REQUIRED),
         "stay": Field(Quantity("a time", 0.5, 3600.0), 5.0),
         "without_call": Field(Names(), ()),
         "call_wait": Field(Quantity("a share", 0.1, 1.0), 1.0),
@@ -123,11 +123,11 @@
             faults.append(where["turn_back"].fault("all-turned-back", "no workload is let in at this level"))
         if level.within_share and not settings.tenants:
             faults.append(where["within_share"].fault("no-tenants", "this deployment has no tenants"))
-        why = unreached(level.enter, settings)
+        why = why_unreachable(level.enter, settings)
         if why is not None:
             faults.append(where["enter"].fault("never-reached", f"{why}: the level would never be entered"))
         for key in ("enter", "leave"):
-            for one in getattr(level, key).ones():
+            for one in getattr(level, key).comparisons():
                 if one.signal.startswith("calls.") and not calls:
                     faults.append(
                         where[key].fault("no-signal", f"{one.signal}: no workload here makes calls")
--- a/valeturn/degradation/reachability.py
+++ b/valeturn/degradation/reachability.py
@@ -1,46 +1,77 @@
-"""Whether a condition can ever hold in a deployment, whatever the load: told by `check`, not met at night."""
+"""Static check whether a condition can hold in a deployment at any load.
+
+The command `check` reports conditions that never hold, so that an operator does not find out during overload.
+"""
 
 from __future__ import annotations
 
-# Of memory: the module starts and remembers nothing past it (rules.MEMORY_RUN, which a test compares).
-MEMORY_MOST = 0.85
+from typing import TYPE_CHECKING
+
+from .conditions import Comparison, Condition
+
+if TYPE_CHECKING:
+    from ..admission.interface import Settings
 
+# The largest ratio of the memory in use: past it the admission controller starts nothing and stores no
+# results. A test compares it with the admission controller's own limit.
+MEMORY_MAXIMUM = 0.85
 
-def most_of(signal, settings):
-    """The most that a signal can come to, or None where nothing bounds it. settings: interface.Settings."""
-    waits = [w.cut_off for w in settings.workloads]
-    calls = [w.cut_off for w in settings.workloads if w.calls]
+
+def signal_maximum(signal: str, settings: Settings) -> float | None:
+    """Return the largest value that a signal reaches in a deployment, or None where nothing limits it."""
     if signal == "memory":
-        return MEMORY_MOST
-    if signal == "unread.wait":  # what waits longer has nobody left who waits for it
-        return max(waits, default=None)
-    if signal == "calls.latency":  # given up at the cut-off, or once the whole share is spent on it
-        share = settings.calls_share * settings.calls_window
-        return min([max(calls), *([share] if 0 < share < float("inf") else [])]) if calls else None
+        return MEMORY_MAXIMUM
+    if signal == "unread.wait":
+        # Nobody waits any more for a request that stays unread past its deadline.
+        return max((request_class.cut_off for request_class in settings.workloads), default=None)
+    if signal == "calls.latency":
+        return _call_latency_maximum(settings)
     return None
 
 
-def unreached(condition, settings):
-    """Why no row of the condition can ever hold, in words, or None where one can."""
-    whys = [_row(row, settings) for row in condition.rows]
-    return None if any(why is None for why in whys) else "; ".join(dict.fromkeys(whys))
-
-
-def _row(row, settings):
-    for one in row:
-        most = most_of(one.signal, settings)
-        if one.above and not one.usual and most is not None and one.value >= most:
-            return f"{one.signal} can't pass {_told(one.signal, most)} here"
-        for other in row:
-            if (
-                (one.signal, one.usual) == (other.signal, other.usual)
-                and one.above
-                and not other.above
-                and (one.value >= other.value)
-            ):
-                return f"{one.signal} can't be over and under at once"
+def _call_latency_maximum(settings: Settings) -> float | None:
+    """Return the seconds after which a call is given up: at the deadline, or with the whole quota spent."""
+    deadlines = [request_class.cut_off for request_class in settings.workloads if request_class.calls]
+    if not deadlines:
+        return None
+    longest = max(deadlines)
+    quota = settings.calls_share * settings.calls_window
+    if 0 < quota < float("inf"):
+        return min(longest, quota)
+    return longest
+
+
+def why_unreachable(condition: Condition, settings: Settings) -> str | None:
+    """Return why the condition can never hold in a deployment, or None where it can."""
+    reasons: list[str] = []
+    for conjunction in condition.conjunctions:
+        reason = _why_conjunction_unreachable(conjunction, settings)
+        if reason is None:
+            return None
+        reasons.append(reason)
+    return "; ".join(dict.fromkeys(reasons))
+
+
+def _why_conjunction_unreachable(conjunction: tuple[Comparison, ...], settings: Settings) -> str | None:
+    for comparison in conjunction:
+        maximum = signal_maximum(comparison.signal, settings)
+        if maximum is not None and _exceeds(comparison, maximum):
+            return f"{comparison.signal} can't pass {_formatted(comparison.signal, maximum)} here"
+        if any(_contradicts(comparison, other) for other in conjunction):
+            return f"{comparison.signal} can't be over and under at once"
     return None
 
 
-def _told(signal, value):
+def _exceeds(comparison: Comparison, maximum: float) -> bool:
+    """Return whether a comparison asks for more than the signal's maximum."""
+    return comparison.above and not comparison.relative and comparison.value >= maximum
+
+
+def _contradicts(comparison: Comparison, other: Comparison) -> bool:
+    """Return whether a lower and an upper threshold of the same signal exclude each other."""
+    same_scale = (comparison.signal, comparison.relative) == (other.signal, other.relative)
+    return same_scale and comparison.above and not other.above and comparison.value >= other.value
+
+
+def _formatted(signal: str, value: float) -> str:
     return f"{100 * value:g} %" if signal == "memory" else f"{value:g} s"
--- a/valeturn/degradation/signals.py
+++ b/valeturn/degradation/signals.py
@@ -1,73 +1,115 @@
-"""What the conditions look at, as few decaying sums, and what each signal usually is."""
+"""Measures the signals that conditions read, as exponentially decaying sums, and learns their baselines."""
 
 from __future__ import annotations
 
 import math
 
-LIFE = 1.0  # s of the sums: at a hundred submissions a second noise of a tenth, and a change is seen in one
-LEAST = 3.0  # calls or submissions in a sum below which a signal is not known: one bad call is no trouble
-USUAL = 60.0  # s over which the usual is learnt, as the module learns what is normal
-OLD = 1.0  # s after which a gauge counts as missing: ten are asked for in that time
-CALLS, CALL_TIME, FAILED, READ, WAITED, BACK = range(6)
+from .conditions import Readings
+
+# Seconds in which a sum decays to 1/e: at a hundred requests a second the noise is a tenth, and a change
+# shows within a second.
+DECAY_TIME = 1.0
+# Calls or requests in a sum below which its signal is unknown: a single failed call is no sign of overload.
+MIN_SAMPLES = 3.0
+# Seconds over which a baseline is learnt, as the admission controller learns its own.
+BASELINE_TIME = 60.0
+# Seconds after which gauges count as missing: ten of them are due in that time.
+MAX_GAUGE_AGE = 1.0
+# Indices of the sums; plain integers, as two of them are updated for each request.
+CALLS, CALL_DURATION, FAILED_CALLS, REQUESTS, REQUEST_WAIT, REJECTIONS = range(6)
+SUM_COUNT = 6
+
+# The signals that have a baseline: those that are durations.
+BASELINE_SIGNALS = ("calls.latency", "unread.wait")
 
 
 class Signals:
-    def __init__(self, now):
-        self.at, self.sums = now, [0.0] * 6
-        self.busy = self.memory = None
-        self.gauged_at = -math.inf
-        self.usual, self.usual_at = {}, now
-
-    def _fade(self, now):
-        if now > self.at:
-            keep = math.exp((self.at - now) / LIFE)
-            self.sums, self.at = [x * keep for x in self.sums], now
-
-    def call_ended(self, now, took, failed):
-        """failed: neither delivered nor proved unrun by the caller's own doing."""
-        self._fade(now)
+    """The signals of one server.
+
+    Attributes:
+        baselines: The learnt normal values in seconds by signal; a signal without one is absent.
+        sums: The decaying sums by the indices above, as of the last update.
+    """
+
+    def __init__(self, now: float) -> None:
+        self.sums = [0.0] * SUM_COUNT
+        self.baselines: dict[str, float] = {}
+        self._decayed_at = now
+        self._busy: float | None = None
+        self._memory: float | None = None
+        self._gauges_at = -math.inf
+        self._learnt_at = now
+
+    def _decay(self, now: float) -> None:
+        if now > self._decayed_at:
+            factor = math.exp((self._decayed_at - now) / DECAY_TIME)
+            self.sums = [value * factor for value in self.sums]
+            self._decayed_at = now
+
+    def record_call(self, now: float, duration: float, failed: bool) -> None:
+        """Record a call on the shared dependency that has ended.
+
+        Args:
+            now: The present time in seconds.
+            duration: Seconds that the call took.
+            failed: Whether the call failed by itself; a cancelled call is no failure.
+        """
+        self._decay(now)
         self.sums[CALLS] += 1
-        self.sums[CALL_TIME] += took
-        self.sums[FAILED] += failed
-
-    def arrived(self, now, waited):
-        self._fade(now)
-        self.sums[READ] += 1
-        self.sums[WAITED] += waited
-
-    def turned_back(self, now):
-        self._fade(now)
-        self.sums[BACK] += 1
-
-    def gauged(self, now, busy, memory):
-        """Shares of the cores and of the memory, or None where the deployment has no such gauge."""
-        self.busy, self.memory, self.gauged_at = busy, memory, now
-
-    def read(self, now):
-        """signal -> its value, None where there is too little to tell or it is old."""
-        self._fade(now)
-        s, fresh = self.sums, now - self.gauged_at <= OLD
-        calls, read = s[CALLS] >= LEAST, s[READ] >= LEAST
+        self.sums[CALL_DURATION] += duration
+        self.sums[FAILED_CALLS] += failed
+
+    def record_request(self, now: float, wait: float) -> None:
+        """Record a request that waited `wait` seconds before it was read."""
+        self._decay(now)
+        self.sums[REQUESTS] += 1
+        self.sums[REQUEST_WAIT] += wait
+
+    def record_rejection(self, now: float) -> None:
+        """Record a rejected request."""
+        self._decay(now)
+        self.sums[REJECTIONS] += 1
+
+    def record_gauges(self, now: float, busy: float | None, memory: float | None) -> None:
+        """Record the ratios of cores and of memory in use; None where the deployment has no such gauge."""
+        self._busy = busy
+        self._memory = memory
+        self._gauges_at = now
+
+    def read(self, now: float) -> Readings:
+        """Return the value of each signal, None where too few samples are known or the gauges are stale."""
+        self._decay(now)
+        sums = self.sums
+        gauges_fresh = now - self._gauges_at <= MAX_GAUGE_AGE
+        enough_calls = sums[CALLS] >= MIN_SAMPLES
+        enough_requests = sums[REQUESTS] >= MIN_SAMPLES
         return {
-            "calls.latency": s[CALL_TIME] / s[CALLS] if calls else None,
-            "calls.failing": s[FAILED] / s[CALLS] if calls else None,
-            "cores.busy": self.busy if fresh else None,
-            "unread.wait": s[WAITED] / s[READ] if read else None,
-            "memory": self.memory if fresh else None,
-            "turned_back": min(1.0, s[BACK] / s[READ]) if read else None,
+            "calls.latency": sums[CALL_DURATION] / sums[CALLS] if enough_calls else None,
+            "calls.failing": sums[FAILED_CALLS] / sums[CALLS] if enough_calls else None,
+            "cores.busy": self._busy if gauges_fresh else None,
+            "unread.wait": sums[REQUEST_WAIT] / sums[REQUESTS] if enough_requests else None,
+            "memory": self._memory if gauges_fresh else None,
+            # More requests than arrived lately may be rejected at once, from the queue.
+            "turned_back": min(1.0, sums[REJECTIONS] / sums[REQUESTS]) if enough_requests else None,
         }
 
-    def learn(self, now, read):
-        """To be called while no level is entered: trouble does not become usual."""
-        share = 1.0 - math.exp((self.usual_at - now) / USUAL)
-        self.usual_at = now
-        for signal in ("calls.latency", "unread.wait"):
-            if read[signal] is not None:
-                before = self.usual.get(signal)
-                self.usual[signal] = (
-                    read[signal] if before is None else before + share * (read[signal] - before)
-                )
-
-    def rest(self, now):
-        """While nothing is learnt time passes all the same."""
-        self.usual_at = now
+    def learn_baselines(self, now: float, readings: Readings) -> None:
+        """Move the baselines towards the readings.
+
+        To be called only while no level is active, so that overload does not become the baseline.
+        """
+        weight = 1.0 - math.exp((self._learnt_at - now) / BASELINE_TIME)
+        self._learnt_at = now
+        for signal in BASELINE_SIGNALS:
+            reading = readings[signal]
+            if reading is None:
+                continue
+            baseline = self.baselines.get(signal)
+            if baseline is None:
+                self.baselines[signal] = reading
+            else:
+                self.baselines[signal] = baseline + weight * (reading - baseline)
+
+    def skip_learning(self, now: float) -> None:
+        """Let the time pass without learning, so that it does not count when learning resumes."""
+        self._learnt_at = now
--- a/valeturn/dispatch/degradation_monitor.py
+++ b/valeturn/dispatch/degradation_monitor.py
@@ -19,11 +19,11 @@
 
     def call_ended(self, now, outcome, took):
         if outcome is not it.Outcome.CANCELLED and outcome is not it.Outcome.MOOT:
-            self.signals.call_ended(now, took, outcome in FAILED)
+            self.signals.record_call(now, took, outcome in FAILED)
 
     def gauged(self, now, gauges):
         memory = None if gauges.memory is None else gauges.memory / self.settings.memory
-        self.signals.gauged(now, gauges.busy, memory)
+        self.signals.record_gauges(now, gauges.busy, memory)
 
     def sweep(self, now, cold):
         """The events for the module: the level that holds from now on, where it changed."""
@@ -32,10 +32,10 @@
         self.times[name] = self.times.get(name, 0.0) + now - self.swept
         self.swept = now
         if self.decision.at is None:
-            self.signals.learn(now, read)
+            self.signals.learn_baselines(now, read)
         else:
-            self.signals.rest(now)
-        told = self.told(now, self.decision.step(now, read, self.signals.usual, cold), read)
+            self.signals.skip_learning(now)
+        told = self.told(now, self.decision.step(now, read, self.signals.baselines, cold), read)
         spared = self.decision.spared(now)
         if spared != self.spared:
             self.count("levels.trials") if not self.spared else None
--- a/valeturn/dispatch/dispatcher.py
+++ b/valeturn/dispatch/dispatcher.py
@@ -267,7 +267,7 @@
         self.open[number] = self.by_call[s.call] = self.by_stream[connection, s.stream] = sub
         left = None if s.wait is None or not self.names.passes_wait else max(0.0, s.wait - waited)
         if self.reducing is not None:
-            self.reducing.signals.arrived(now, waited)
+            self.reducing.signals.record_request(now, waited)
         self.events.append(
             it.Arrived(
                 id=number,
@@ -347,7 +347,7 @@
         if not sub.answered:
             self.count("out." + kind)
             if kind == "turned_back" and self.reducing is not None:
-                self.reducing.signals.turned_back(self.scheduler.clock())
+                self.reducing.signals.record_rejection(self.scheduler.clock())
             getattr(sub.connection, ANSWERS[kind])(sub.stream, self.load, *what)
             if self.trace is not None:
                 self.trace(
--- a/valeturn/lab/emulator.py
+++ b/valeturn/lab/emulator.py
@@ -196,7 +196,7 @@
         world = self.world
         self.subs[self.numbers] = sub
         if self.reducing:
-            self.reducing.signals.arrived(world.now, 0.0)
+            self.reducing.signals.record_request(world.now, 0.0)
         hint = sub.work * math.exp(0.3 * (world.chance.share() - 0.5))
         self.decide(
             [
@@ -249,7 +249,7 @@
             self.runs.pop(a.id, None)
             self.calls.pop(a.id, None)
         if self.reducing:
-            self.reducing.signals.turned_back(self.world.now)
+            self.reducing.signals.record_rejection(self.world.now)
         self.world.turned_back(self, sub, a)
 
     def do_write_off(self, a):
--- a/valeturn/lab/levels.py
+++ b/valeturn/lab/levels.py
@@ -9,7 +9,7 @@
 import pathlib
 
 from ..admission import interface as it
-from ..degradation.conditions import Kind
+from ..degradation.conditions import ConditionType
 from ..degradation.controller import Level
 from .emulator import Mix, Scene, World
 
@@ -68,7 +68,7 @@
 
 
 def levels():
-    read = Kind().read
+    read = ConditionType().read
     return tuple(
         Level(name, rank, read(enter), read(leave), stay, gives)
         for name, rank, enter, leave, stay, gives in LEVELS
