--- a/tests/degradation/test_degradation.py
+++ b/tests/degradation/test_degradation.py
@@ -35,7 +35,7 @@
 
 def levels(stay=2.0):
     return [
-        d.Level(
+        d.DegradationLevel(
             "slim",
             1,
             condition("cores.busy > 80 % for 1 s"),
@@ -43,7 +43,7 @@
             stay,
             SLIM,
         ),
-        d.Level(
+        d.DegradationLevel(
             "thin",
             2,
             condition("cores.busy > 90 % for 1 s"),
@@ -51,7 +51,7 @@
             stay,
             SLIM,
         ),
-        d.Level("bare", 3, condition("memory > 95 %"), condition("memory < 50 %"), stay, BARE),
+        d.DegradationLevel("bare", 3, condition("memory > 95 %"), condition("memory < 50 %"), stay, BARE),
     ]
 
 
@@ -172,78 +172,78 @@
 
 
 def test_one_rank_at_a_time_but_straight_to_the_worst_in_an_emergency():
-    decision = d.Decision(levels(), 0.0)
+    decision = d.DegradationController(levels(), 0.0)
     assert names(play(decision, lambda t: {"cores.busy": 0.85 if t < 2 else 0.99}, 5)) == ["slim", "thin"]
     assert names(play(decision, lambda t: {"cores.busy": 0.5}, 10, 3.0)) == [None], (
         "both leave conditions hold"
     )
-    decision = d.Decision(levels(), 0.0)
+    decision = d.DegradationController(levels(), 0.0)
     assert names(play(decision, lambda t: {"memory": 0.99}, 1)) == ["bare"]
     assert names(play(decision, lambda t: {"memory": 0.1, "cores.busy": 0.75}, 9, 1.0)) == ["thin"]
 
 
 def test_a_condition_must_hold_all_the_time_that_it_says():
-    decision = d.Decision(levels(), 0.0)
+    decision = d.DegradationController(levels(), 0.0)
     assert play(decision, lambda t: {"cores.busy": 0.85 if t % 0.9 < 0.7 else 0.3}, 30) == []
 
 
 def test_noise_at_a_boundary_does_not_flap():
     for seed in range(10):
-        chance, decision = random.Random(seed), d.Decision(levels(), 0.0)
+        chance, decision = random.Random(seed), d.DegradationController(levels(), 0.0)
         changes = play(decision, lambda t: {"cores.busy": 0.8 + chance.gauss(0, 0.05)}, 3600)
         assert len(changes) <= 4, "an hour at the boundary"
 
 
 def test_a_square_wave_meets_longer_stays_and_a_bound_on_changes():
-    decision = d.Decision(levels(), 0.0)
+    decision = d.DegradationController(levels(), 0.0)
     changes = play(decision, lambda t: {"cores.busy": 0.85 if t % 8 < 4 else 0.3}, 600)
     times = [now for now, _ in changes]
-    assert all(sum(at <= now < at + 60 for now in times) <= d.CHANGES + 1 for at in times)
+    assert all(sum(at <= now < at + 60 for now in times) <= d.MAX_CHANGES + 1 for at in times)
     assert len(changes) < 60, "75 waves, two changes each without the longer stay"
 
 
 def test_a_slow_sine_changes_no_more_than_it_crosses():
-    decision = d.Decision(levels(), 0.0)
+    decision = d.DegradationController(levels(), 0.0)
     changes = play(decision, lambda t: {"cores.busy": 0.7 + 0.2 * math.sin(2 * math.pi * t / 120)}, 600)
     assert 10 <= len(changes) <= 2 * 10
 
 
 def test_a_signal_that_stops_coming_neither_enters_nor_keeps_a_level():
-    decision = d.Decision(levels(), 0.0)
+    decision = d.DegradationController(levels(), 0.0)
     assert play(decision, lambda t: {}, 60) == []
     play(decision, lambda t: {"cores.busy": 0.85}, 3, 60.0)
-    assert decision.at == "slim"
+    assert decision.active_name == "slim"
     assert play(decision, lambda t: {}, 4, 63.0) == [], "held on to for a while"
     assert names(play(decision, lambda t: {}, 10, 67.0)) == [None]
 
 
 def test_a_cold_server_enters_by_no_condition_and_does_once_it_is_warm():
-    decision = d.Decision(levels(), 0.0)
+    decision = d.DegradationController(levels(), 0.0)
     assert play(decision, lambda t: {"cores.busy": 0.99}, 10, cold=True) == []
     assert names(play(decision, lambda t: {"cores.busy": 0.99}, 1, 10.0)) == ["thin"]
 
 
 def test_by_hand_and_a_configuration_that_takes_the_level_away():
-    decision = d.Decision(levels(), 0.0)
+    decision = d.DegradationController(levels(), 0.0)
     assert decision.pin(0.0, "odd", 9.0) is None
     assert [c.after for c in decision.pin(0.0, "bare", 5.0)] == ["bare"]
     assert play(decision, lambda t: {"memory": 0.1}, 4) == []
     assert names(play(decision, lambda t: {"memory": 0.1}, 3, 4.0)) == [None]
     play(decision, lambda t: {"cores.busy": 0.85}, 3, 10.0)
-    decision.put(levels()[1:])
+    decision.configure(levels()[1:])
     assert names(play(decision, lambda t: {"cores.busy": 0.85}, 1, 13.0)) == [None]
     play(decision, lambda t: {"cores.busy": 0.99}, 3, 14.0)
-    decision.put([level._replace(name="other") if level.name == "thin" else level for level in levels()])
+    decision.configure([level._replace(name="other") if level.name == "thin" else level for level in levels()])
     assert names(play(decision, lambda t: {"cores.busy": 0.99}, 3, 17.0))[0] is None, (
         "renamed: left, then entered"
     )
-    assert decision.at == "other"
+    assert decision.active_name == "other"
 
 
 @pytest.mark.parametrize("seed", range(20))
 def test_the_decision_and_its_plain_reading_agree(seed):
     """Beside it: what must hold at any sweep, from the whole history of each signal."""
-    chance, decision, history = random.Random(seed), d.Decision(levels(), 0.0), []
+    chance, decision, history = random.Random(seed), d.DegradationController(levels(), 0.0), []
     busy, at, entered, changes = 0.5, None, 0.0, []
     for step in range(3000):
         now = step / 10
@@ -269,10 +269,10 @@
                 assert met[change.after]
             else:
                 assert now - entered >= 2.0 - 1e-9, "left before its least stay"
-                assert sum(now - one < 60 for one in changes) < d.CHANGES
+                assert sum(now - one < 60 for one in changes) < d.MAX_CHANGES
             at, entered = change.after, now
             changes.append(now)
-        assert decision.at == at
+        assert decision.active_name == at
         if not out:
             above = [name for name, holds in met.items() if holds and rank[name] > rank[at]]
             assert not above, f"{above} is met and not entered from {at}"
@@ -281,41 +281,41 @@
 def test_a_level_that_relieves_what_it_was_entered_for_is_not_left_while_that_lasts():
     """The signal is as bad as the share of the work that the level does not touch: with the whole of it left
     alone it would be entered again at once, as it was before levels were left on trial."""
-    decision, trials = d.Decision(levels(5.0), 0.0), 0
+    decision, trials = d.DegradationController(levels(5.0), 0.0), 0
 
     def shape(t):
         trouble = 0.95 if t < 100 else 0.3
-        return {"cores.busy": trouble * (1.0 if decision.at is None else decision.spared(t))}
+        return {"cores.busy": trouble * (1.0 if decision.active_name is None else decision.spared_ratio(t))}
 
     changes = []
     for step in range(1500):
         now, before = step / 10, decision.state
         changes += decision.step(now, {**NOTHING, **shape(now)}, {})
-        trials += before == d.IN and decision.state == d.TRIAL
-        assert (decision.spared(now) > 0) == (decision.state == d.TRIAL)
+        trials += before == d.State.ACTIVE and decision.state == d.State.PROBATION
+        assert (decision.spared_ratio(now) > 0) == (decision.state == d.State.PROBATION)
     assert [change.after for change in changes[-2:]] == ["slim", None] or len(changes) <= 4
     assert len(changes) <= 4, "entered, perhaps left once or twice, never each few seconds"
-    assert trials >= 2 and decision.at is None
+    assert trials >= 2 and decision.active_name is None
 
 
 def test_a_stay_that_was_doubled_is_halved_for_each_quiet_while():
-    decision = d.Decision(levels(), 0.0)
+    decision = d.DegradationController(levels(), 0.0)
     bad, good = (lambda t: {"cores.busy": 0.85}), (lambda t: {"cores.busy": 0.3})
     for start in (0.0, 20.0, 40.0):
         play(decision, bad, 3, start)
         play(decision, good, 17, start + 3)
-    assert decision.factor["slim"] == 4.0
+    assert decision.stay_factors["slim"] == 4.0
     play(decision, bad, 3, 140.0)
-    assert 1.0 < decision.factor["slim"] < 2.0, "a minute and a half was quiet"
+    assert 1.0 < decision.stay_factors["slim"] < 2.0, "a minute and a half was quiet"
 
 
 def test_at_a_boundary_for_long_returns_get_rarer_and_rarer():
     """A load that needs the level whenever it is not there, and looks well whenever it is: each time as long
     brings no more returns than the time before."""
-    decision, entries = d.Decision(levels(5.0), 0.0), []
+    decision, entries = d.DegradationController(levels(5.0), 0.0), []
     for step in range(60 * 600):
         now = step / 10
-        busy = 0.85 if decision.at is None else 0.3
+        busy = 0.85 if decision.active_name is None else 0.3
         entries += [now for one in decision.step(now, {**NOTHING, "cores.busy": busy}, {}) if one.after]
     spans = ((0, 5), (5, 10), (10, 20), (20, 40), (40, 60))
     quarter = [sum(60 * a <= at < 60 * b for at in entries) for a, b in spans]
@@ -323,11 +323,11 @@
 
 
 def test_every_pair_of_the_table_is_told_apart():
-    assert {state for state, _ in d.TABLE} <= set(range(len(d.STATES)))
+    assert {state for state, _ in d.TRANSITIONS} <= set(d.State)
     assert (
-        (d.CALM, d.COLD) not in d.TABLE
-        and (d.CALM, d.BETTER) not in d.TABLE
-        and (d.PINNED, d.WORSE) not in d.TABLE
+        (d.State.NORMAL, d.Input.HIGHER_LEVEL_DUE_WHILE_WARMING_UP) not in d.TRANSITIONS
+        and (d.State.NORMAL, d.Input.RECOVERED_TO_LOWER_LEVEL) not in d.TRANSITIONS
+        and (d.State.PINNED, d.Input.HIGHER_LEVEL_DUE) not in d.TRANSITIONS
     )
 
 
@@ -351,7 +351,7 @@
     reducing = Reducing(
         0.0,
         [
-            d.Level(
+            d.DegradationLevel(
                 "slim",
                 1,
                 condition("calls.latency > 3 x usual for 1 s"),
--- a/tests/digests/degradation.py
+++ b/tests/digests/degradation.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 
 from valeturn.degradation.conditions import ConditionType
-from valeturn.degradation.controller import CALM, IN, PINNED, TRIAL, Decision, Level
+from valeturn.degradation.controller import DegradationController, DegradationLevel, State
 from valeturn.degradation.signals import Signals
 from valeturn.operator_config.value_types import Wants
 
-STATES = (CALM, IN, TRIAL, PINNED)
+STATES = (State.NORMAL, State.ACTIVE, State.PROBATION, State.PINNED)
 STEPS = 4500
 SWEEP = 0.25
 ENTERS = (
@@ -103,13 +103,13 @@
             signals.record_gauges(now, self.busy, chance.choice([self.memory, self.memory, None]))
 
 
-def generated_levels(chance: random.Random, enters: list, leaves: list) -> list[Level]:
+def generated_levels(chance: random.Random, enters: list, leaves: list) -> list[DegradationLevel]:
     """Return some of the levels, each with its own least stay."""
     levels = []
     for position, (enter, leave) in enumerate(zip(enters, leaves, strict=True)):
         if chance.random() < 0.85:
             stay = chance.choice([2.0, 3.0, 5.0])
-            levels.append(Level(f"level-{position}", position + 1, enter, leave, stay, None))
+            levels.append(DegradationLevel(f"level-{position}", position + 1, enter, leave, stay, None))
     chance.shuffle(levels)
     return levels
 
@@ -121,12 +121,12 @@
     return [list(one) for one in changes]
 
 
-def by_hand(chance: random.Random, decision: Decision, now: float) -> list[object] | None:
+def by_hand(chance: random.Random, decision: DegradationController, now: float) -> list[object] | None:
     """Pin a level, which may be unknown, or free what is pinned, and return the changes."""
     if chance.random() < 0.7:
         name = f"level-{chance.randrange(5)}"
         return plain(decision.pin(now, name, chance.choice([1.0, 5.0, 20.0])))
-    return plain(decision.free(now))
+    return plain(decision.unpin(now))
 
 
 def play(seed: int, record: Callable[[object], None]) -> None:
@@ -138,27 +138,27 @@
     now = 0.0
     load = Load(chance)
     signals = Signals(now)
-    decision = Decision(generated_levels(chance, enters, leaves), now)
+    decision = DegradationController(generated_levels(chance, enters, leaves), now)
     for step in range(STEPS):
         now += SWEEP
-        on_trial = decision.state == TRIAL
+        on_trial = decision.state is State.PROBATION
         if now >= load.until or on_trial and chance.random() < 0.2:
             load.change(now)
         load.feed(now, signals)
         read = signals.read(now)
-        if decision.at is None:
+        if decision.active_name is None:
             signals.learn_baselines(now, read)
         else:
             signals.skip_learning(now)
         kind = chance.random()
         if kind < 0.008:
             record(by_hand(chance, decision, now))
-        elif kind < 0.012 or kind < 0.04 and decision.state in (TRIAL, PINNED):
-            decision.put(generated_levels(chance, enters, leaves))
+        elif kind < 0.012 or kind < 0.04 and decision.state in (State.PROBATION, State.PINNED):
+            decision.configure(generated_levels(chance, enters, leaves))
         cold = chance.random() < 0.1
         record(plain(decision.step(now, read, signals.baselines, cold)))
-        record([STATES.index(decision.state), decision.at, decision.spared(now)])
+        record([STATES.index(decision.state), decision.active_name, decision.spared_ratio(now)])
         if step % 20 == 0:
             record(list(read.values()))
             record(list(signals.baselines.values()))
-            record(list(decision.factor.values()))
+            record(list(decision.stay_factors.values()))
--- a/valeturn/degradation/controller.py
+++ b/valeturn/degradation/controller.py
@@ -1,216 +1,345 @@
-"""Which level holds: a table of state, input, next state, effect, read at every sweep. No I/O.
-
-A level is entered once its condition has held as long as it says, one rank at a time, but at once to the
-worst whose condition holds in an emergency: two ranks or more above the present one. It is left, once its
-leave condition has held and its least stay is over, for the next lower one whose own leave condition does not
-hold, or for none.
-
-What a level relieves looks well because of the level: its leave condition may hold only while it does. So it
-is left on trial, for the last part of its stay: more and more of the submissions, from the highest rank down,
-are spared what it gives up. Should its own condition begin to hold meanwhile, it holds in full again, never
-having been left, and the stay doubles. Coming back soon after it was left doubles the stay as well, up to a
-bound that grows with the time for which the level has come and gone; a stay that was doubled is halved again
-for each quiet while, as it was learnt.
+"""Decides which degradation level a server is in: a state machine that is stepped at each sweep, without I/O.
+
+A level is entered once its enter condition has held for as long as it says: one rank at a time, but in an
+emergency at once to the highest level whose condition holds, if that is two ranks or more above the present
+one. A level is left once its leave condition has held and its minimum stay is over, for the next lower level
+whose own leave condition does not hold, or for none.
+
+A level relieves the load that it was entered for, so its leave condition may hold only because of the level.
+Therefore the last part of a stay is a probation: a growing ratio of the requests, those of the highest
+priority first, is exempt from the level. Should the enter condition hold meanwhile, the level applies in full
+again without having been left, and its stay doubles. The stay doubles as well when a level is entered again
+soon after it was left, up to a limit that grows with the time for which the level has flapped. A doubled stay
+is halved for each quiet minute.
 """
 
 from __future__ import annotations
 
-from typing import NamedTuple
-
-# CALM: no level. IN: a level by its condition. TRIAL: one on its way out. PINNED: one by hand, for a time.
-CALM, IN, TRIAL, PINNED = range(4)
-STATES = ("calm", "in", "on trial", "pinned")
-# WORSE: the condition of a higher one holds. BETTER, WELL: the leave condition holds and the stay is over,
-# with a lower level to go to or none. PIN, UNPIN: by hand, and its end. LOST: the level is gone from the
-# configuration. COLD: as WORSE, of a server that warms up. MILD: the leave condition holds and the stay is
-# over but for the trial. AGAIN: on trial, its own condition begins to hold or the leave condition ends.
-WORSE, BETTER, WELL, PIN, UNPIN, LOST, COLD, MILD, AGAIN = range(9)
-
-# (state, input) -> (next state, effect). A missing pair changes nothing: COLD alone never enters a level by
-# condition, as what a cold server sees of its own cores is its warming up.
-TABLE = {
-    (CALM, WORSE): (IN, "up"),
-    (CALM, PIN): (PINNED, "pin"),
-    (IN, WORSE): (IN, "up"),
-    (IN, MILD): (TRIAL, "try_out"),
-    (IN, PIN): (PINNED, "pin"),
-    (IN, LOST): (CALM, "drop"),
-    (TRIAL, WORSE): (IN, "up"),
-    (TRIAL, AGAIN): (IN, "back_in"),
-    (TRIAL, BETTER): (IN, "down"),
-    (TRIAL, WELL): (CALM, "down"),
-    (TRIAL, PIN): (PINNED, "pin"),
-    (TRIAL, LOST): (CALM, "drop"),
-    (PINNED, PIN): (PINNED, "pin"),
-    (PINNED, UNPIN): (CALM, "unpin"),
-    (PINNED, LOST): (CALM, "drop"),
+import math
+from collections.abc import Iterable, Mapping
+from enum import Enum
+from typing import NamedTuple, cast
+
+from ..admission.interface import Reduced
+from .condition_tracker import ConditionTracker
+from .conditions import Baselines, Condition, Readings
+
+# Seconds after a level was left in which entering it again counts as flapping.
+FLAP_WINDOW = 60.0
+# The largest multiple of the minimum stay, reached after three returns in short succession.
+MAX_STAY_FACTOR = 8.0
+# The part of a level's flapping time that its stay may reach, where that is more than MAX_STAY_FACTOR allows:
+# returns get rarer the longer the flapping goes on, at any load. At a half, a level does not stay for as many
+# minutes again after an overload of minutes.
+FLAPPING_STAY_RATIO = 0.5
+# The most halvings of a stay factor at once: it bounds the exponent, as the quiet time before a level's first
+# entry is infinite. Three halvings undo MAX_STAY_FACTOR.
+MAX_HALVINGS = 9.0
+# Steps of a probation. Each exempts a fifth more of the requests, less than the spare capacity that lets an
+# overloaded dependency recover.
+PROBATION_STEPS = 4
+# Seconds of a step: half of the time in which the signals decay. Twice that kept levels past their overload.
+PROBATION_STEP = 0.5
+# Changes in CHANGE_WINDOW at which a level is entered but not left any more.
+MAX_CHANGES = 6
+# Seconds over which changes are counted.
+CHANGE_WINDOW = 60.0
+# Ranks above the present one from which a level is entered at once, without those between.
+EMERGENCY_RANKS = 2
+
+
+class State(Enum):
+    """The states of the controller; the values are the texts that `status` shows."""
+
+    NORMAL = "calm"  # no level is active
+    ACTIVE = "in"  # a level is active by its condition
+    PROBATION = "on trial"  # a level is active, but exempts more and more requests
+    PINNED = "pinned"  # an operator holds a level for some time
+
+
+class Input(Enum):
+    """What a sweep or an operator asks of the controller."""
+
+    HIGHER_LEVEL_DUE = "the enter condition of a higher level has held"
+    HIGHER_LEVEL_DUE_WHILE_WARMING_UP = "the same, on a server that is warming up"
+    PROBATION_DUE = "the leave condition has held, and the stay is over but for the probation"
+    RELAPSED = "on probation the enter condition holds, or the leave condition does not"
+    RECOVERED_TO_LOWER_LEVEL = "the probation is over, and a lower level is still needed"
+    RECOVERED = "the probation is over, and no level is needed"
+    PIN = "an operator pins a level"
+    UNPIN = "the time of the pinned level is over, or an operator ends it"
+    LEVEL_REMOVED = "the active level is not in the new configuration"
+
+
+class Effect(Enum):
+    """What a transition does besides the change of state."""
+
+    ENTER = "enter a higher level"
+    BEGIN_PROBATION = "begin the probation of the active level"
+    END_PROBATION = "apply the active level in full again"
+    LEAVE = "leave the active level for a lower one or none"
+    PIN = "activate the pinned level"
+    CLEAR = "activate no level"
+
+
+class Transition(NamedTuple):
+    """The next state and what to do on the way."""
+
+    state: State
+    effect: Effect
+
+
+# The transitions. A pair that is missing changes nothing: HIGHER_LEVEL_DUE_WHILE_WARMING_UP never enters a
+# level, as busy cores are normal on a server that is warming up.
+TRANSITIONS: Mapping[tuple[State, Input], Transition] = {
+    (State.NORMAL, Input.HIGHER_LEVEL_DUE): Transition(State.ACTIVE, Effect.ENTER),
+    (State.NORMAL, Input.PIN): Transition(State.PINNED, Effect.PIN),
+    (State.ACTIVE, Input.HIGHER_LEVEL_DUE): Transition(State.ACTIVE, Effect.ENTER),
+    (State.ACTIVE, Input.PROBATION_DUE): Transition(State.PROBATION, Effect.BEGIN_PROBATION),
+    (State.ACTIVE, Input.PIN): Transition(State.PINNED, Effect.PIN),
+    (State.ACTIVE, Input.LEVEL_REMOVED): Transition(State.NORMAL, Effect.CLEAR),
+    (State.PROBATION, Input.HIGHER_LEVEL_DUE): Transition(State.ACTIVE, Effect.ENTER),
+    (State.PROBATION, Input.RELAPSED): Transition(State.ACTIVE, Effect.END_PROBATION),
+    (State.PROBATION, Input.RECOVERED_TO_LOWER_LEVEL): Transition(State.ACTIVE, Effect.LEAVE),
+    (State.PROBATION, Input.RECOVERED): Transition(State.NORMAL, Effect.LEAVE),
+    (State.PROBATION, Input.PIN): Transition(State.PINNED, Effect.PIN),
+    (State.PROBATION, Input.LEVEL_REMOVED): Transition(State.NORMAL, Effect.CLEAR),
+    (State.PINNED, Input.PIN): Transition(State.PINNED, Effect.PIN),
+    (State.PINNED, Input.UNPIN): Transition(State.NORMAL, Effect.CLEAR),
+    (State.PINNED, Input.LEVEL_REMOVED): Transition(State.NORMAL, Effect.CLEAR),
 }
-SOON = 60.0  # s after a return in which coming back counts as flapping
-STAY_MOST = 8.0  # times its least stay that a level is kept, after three soon returns
-# Of the time that it has come and gone, for which it may be kept: returns get rarer the longer that goes on,
-# at any load; half, so that what is over after minutes is not kept for as many more.
-EPISODE = 0.5
-STEPS = 4  # of a trial: a quarter more each time is less than the room in which a crowded dependency holds
-STEP = 0.5  # s: half of the time in which the signals fade; twice that kept levels past their trouble
-CHANGES = 6  # a minute at the most; past it a level is entered but not left
-EMERGENCY = 2  # ranks by which a worse one is entered at once, past those between
-
-
-class Level(NamedTuple):
-    name: str
-    rank: int
-    enter: object  # a Condition
-    leave: object
-    stay: float  # s, the least
-    gives: object  # what the module is told
 
 
-class Change(NamedTuple):
-    """What is told of a change: to and from None is no level."""
+class DegradationLevel(NamedTuple):
+    """A configured level.
 
-    before: str | None
-    after: str | None
-    why: str
+    Attributes:
+        name: The name that the operator gave it.
+        rank: Its severity from 1, unique among the levels.
+        enter: The condition that enters it.
+        leave: The condition that lets it be left.
+        minimum_stay: Seconds for which it is active at least, with its probation.
+        restrictions: What the admission controller restricts while it is active.
+    """
 
+    name: str
+    rank: int
+    enter: Condition
+    leave: Condition
+    minimum_stay: float
+    restrictions: Reduced
 
-class Holding:
-    """How long a condition has held: each comparison counts for itself. One whose signal is missing holds on
-    to what it was for a while, then counts as not held for `enter` and as held for `leave`."""
-
-    MISSING = 5.0  # s: a signal that stops coming neither enters a level nor keeps one for ever
-
-    def __init__(self, condition, when_missing):
-        self.condition, self.when_missing = condition, when_missing
-        self.since, self.seen = {}, {}  # comparison -> since when it holds; (when, what) was last known
 
-    def met(self, now, read, usual):
-        return any(all([self._one(now, one, read, usual) for one in row]) for row in self.condition.conjunctions)
+class LevelChange(NamedTuple):
+    """A change of the active level, for the log.
 
-    def begins(self, read, usual):
-        """True where a row of comparisons holds at this moment, however long it has to."""
-        return any(all(one.holds(read, usual) for one in row) for row in self.condition.conjunctions)
+    Attributes:
+        before: The name of the level that was active, or None.
+        after: The name of the level that is active now, or None.
+        reason: The condition or the operator's request that changed it.
+    """
 
-    def _one(self, now, one, read, usual):
-        holds = one.holds(read, usual)
-        if holds is None:
-            at, before = self.seen.get(one, (None, False))
-            if at is None:  # never known: nothing to hold on to
-                holds = self.when_missing
-            else:
-                holds = before if now - at <= self.MISSING else self.when_missing
-        else:
-            self.seen[one] = now, holds
-        if not holds:
-            self.since.pop(one, None)
-            return False
-        return now - self.since.setdefault(one, now) >= one.hold_duration
-
-
-class Decision:
-    def __init__(self, levels, now):
-        self.state, self.at, self.entered, self.changes = CALM, None, now, []
-        self.pinned_until = 0.0
-        self.put(levels)
-
-    def put(self, levels):
-        """Takes another configuration whole; a level with the same name goes on."""
-        self.levels = sorted(levels, key=lambda level: level.rank)
-        self.enters = {level.name: Holding(level.enter, False) for level in self.levels}
-        self.leaves = {level.name: Holding(level.leave, True) for level in self.levels}
-        self.factor = {level.name: 1.0 for level in self.levels}
-        self.left = {}  # name -> when it was left last
-        self.episode = {}  # name -> when it was entered first of those times that it came back soon
-        self.tried_at = None  # since when the present one is on trial
-
-    def level(self):
-        return next((level for level in self.levels if level.name == self.at), None)
-
-    def step(self, now, read, usual, cold=False):
-        """The changes of this sweep, in order, mostly none."""
-        met = {level.name: self.enters[level.name].met(now, read, usual) for level in self.levels}
-        leaves = {level.name: self.leaves[level.name].met(now, read, usual) for level in self.levels}
-        self.changes = [at for at in self.changes if now - at < 60.0]
-        level, out = self.level(), []
-        if self.at is not None and level is None:
-            return self._move(LOST, now, None, "no longer configured")
-        if self.state == PINNED:
-            return self._move(UNPIN, now, None, "held by hand to here") if now >= self.pinned_until else out
-        rank = level.rank if level is not None else 0
-        worse = [one for one in self.levels if one.rank > rank and met[one.name]]
-        if worse:
-            target = worse[-1] if worse[-1].rank - rank >= EMERGENCY else worse[0]
-            return self._move(COLD if cold else WORSE, now, target, str(target.enter))
+    before: str | None
+    after: str | None
+    reason: str
+
+
+class DegradationController:
+    """The state machine of the degradation levels.
+
+    Args:
+        levels: The configured levels, in any order.
+        now: The present time in seconds, from any monotonic clock.
+
+    Attributes:
+        state: The present state.
+        active_name: The name of the active level, or None.
+        stay_factors: By level, the present multiple of its minimum stay.
+    """
+
+    def __init__(self, levels: Iterable[DegradationLevel], now: float) -> None:
+        self.state = State.NORMAL
+        self.active_name: str | None = None
+        self._entered_at = now
+        self._change_times: list[float] = []
+        self._pinned_until = 0.0
+        self._effects = {
+            Effect.ENTER: self._enter,
+            Effect.BEGIN_PROBATION: self._begin_probation,
+            Effect.END_PROBATION: self._end_probation,
+            Effect.LEAVE: self._leave,
+            Effect.PIN: self._activate_pinned,
+            Effect.CLEAR: self._clear,
+        }
+        self.configure(levels)
+
+    def configure(self, levels: Iterable[DegradationLevel]) -> None:
+        """Replace the configuration as a whole; a level of the same name stays active.
+
+        The timing of the conditions and what was learnt about flapping begin anew.
+        """
+        self._levels = sorted(levels, key=lambda level: level.rank)
+        self._enter_trackers = {level.name: ConditionTracker(level.enter, False) for level in self._levels}
+        self._leave_trackers = {level.name: ConditionTracker(level.leave, True) for level in self._levels}
+        self.stay_factors = {level.name: 1.0 for level in self._levels}
+        self._left_at: dict[str, float] = {}
+        # By level, when it was entered first in the present series of returns in short succession.
+        self._flapping_since: dict[str, float] = {}
+        self._probation_since: float | None = None
+
+    def active_level(self) -> DegradationLevel | None:
+        """Return the active level, or None where there is none or it is not configured any more."""
+        return self._find(self.active_name)
+
+    def step(
+        self, now: float, readings: Readings, baselines: Baselines, warming_up: bool = False
+    ) -> list[LevelChange]:
+        """Take in the readings of a sweep and return the changes in order; mostly there is none."""
+        enter_met = {
+            name: tracker.update(now, readings, baselines) for name, tracker in self._enter_trackers.items()
+        }
+        leave_met = {
+            name: tracker.update(now, readings, baselines) for name, tracker in self._leave_trackers.items()
+        }
+        self._change_times = [at for at in self._change_times if now - at < CHANGE_WINDOW]
+        level = self.active_level()
+        if self.active_name is not None and level is None:
+            return self._apply(Input.LEVEL_REMOVED, now, None, "no longer configured")
+        if self.state is State.PINNED:
+            return self._step_pinned(now)
+        higher = self._higher_level_due(level, enter_met)
+        if higher is not None:
+            event = Input.HIGHER_LEVEL_DUE_WHILE_WARMING_UP if warming_up else Input.HIGHER_LEVEL_DUE
+            return self._apply(event, now, higher, str(higher.enter))
+        if level is None:
+            return []
+        recovered = leave_met[level.name] and not enter_met[level.name]
+        if self.state is State.PROBATION:
+            relapsed = not recovered or self._enter_trackers[level.name].holds_now(readings, baselines)
+            return self._step_probation(now, level, relapsed, leave_met)
+        return self._step_active(now, level, recovered)
+
+    def spared_ratio(self, now: float) -> float:
+        """Return the ratio of the requests that are exempt from the active level.
+
+        It is 0 but on probation, where it grows in steps from a fifth to four fifths.
+        """
+        if self.state is not State.PROBATION:
+            return 0.0
+        steps = 1 + int(self._probation_elapsed(now) / PROBATION_STEP)
+        return min(PROBATION_STEPS, steps) / (PROBATION_STEPS + 1)
+
+    def pin(self, now: float, name: str, seconds: float) -> list[LevelChange] | None:
+        """Activate a level for some seconds whatever the load; return None where there is no such level."""
+        level = self._find(name)
         if level is None:
-            return out
-        well = leaves[level.name] and not met[level.name]
-        if self.state == TRIAL:
-            if not well or self.enters[level.name].begins(read, usual):
-                return self._move(AGAIN, now, level, str(level.enter))
-            if now - self.tried_at >= STEPS * STEP and len(self.changes) < CHANGES:
-                below = [one for one in self.levels if one.rank < level.rank and not leaves[one.name]]
-                target = below[-1] if below else None
-                return self._move(BETTER if below else WELL, now, target, str(level.leave))
-        elif well and now - self.entered >= level.stay * self.factor[level.name] - STEPS * STEP:
-            self._move(MILD, now, level, str(level.leave))
-        return out
-
-    def spared(self, now):
-        """The share that the present level does not touch: 0 but on trial; by steps up to four fifths."""
-        return 0.0 if self.state != TRIAL else min(STEPS, 1 + int((now - self.tried_at) / STEP)) / (STEPS + 1)
-
-    def pin(self, now, name, seconds):
-        """By hand; None where there is no such level."""
-        target = next((level for level in self.levels if level.name == name), None)
-        if target is None:
             return None
-        self.pinned_until = now + seconds
-        return self._move(PIN, now, target, f"by hand for {seconds:g} s")
+        self._pinned_until = now + seconds
+        return self._apply(Input.PIN, now, level, f"by hand for {seconds:g} s")
 
-    def free(self, now):
-        """Ends what is held by hand; None where nothing is."""
-        return self._move(UNPIN, now, None, "freed by hand") if self.state == PINNED else None
+    def unpin(self, now: float) -> list[LevelChange] | None:
+        """End a pinned level at once; return None where none is pinned."""
+        if self.state is not State.PINNED:
+            return None
+        return self._apply(Input.UNPIN, now, None, "freed by hand")
+
+    def _find(self, name: str | None) -> DegradationLevel | None:
+        return next((level for level in self._levels if level.name == name), None)
+
+    def _higher_level_due(
+        self, level: DegradationLevel | None, enter_met: Mapping[str, bool]
+    ) -> DegradationLevel | None:
+        """Return the higher level to enter now, or None."""
+        rank = 0 if level is None else level.rank
+        due = [other for other in self._levels if other.rank > rank and enter_met[other.name]]
+        if not due:
+            return None
+        return due[-1] if due[-1].rank - rank >= EMERGENCY_RANKS else due[0]
+
+    def _stay_before_probation(self, level: DegradationLevel) -> float:
+        """Return the seconds from entering a level to its probation, which is the last part of the stay."""
+        return level.minimum_stay * self.stay_factors[level.name] - PROBATION_STEPS * PROBATION_STEP
 
-    def _move(self, given, now, target, why):
-        found = TABLE.get((self.state, given))
-        if found is None:
+    def _step_pinned(self, now: float) -> list[LevelChange]:
+        if now < self._pinned_until:
             return []
-        before = self.at
-        self.state, effect = found
-        getattr(self, "do_" + effect)(now, target)
-        if before == self.at:
+        return self._apply(Input.UNPIN, now, None, "held by hand to here")
+
+    def _step_active(self, now: float, level: DegradationLevel, recovered: bool) -> list[LevelChange]:
+        if recovered and now - self._entered_at >= self._stay_before_probation(level):
+            return self._apply(Input.PROBATION_DUE, now, level, str(level.leave))
+        return []
+
+    def _step_probation(
+        self, now: float, level: DegradationLevel, relapsed: bool, leave_met: Mapping[str, bool]
+    ) -> list[LevelChange]:
+        if relapsed:
+            return self._apply(Input.RELAPSED, now, level, str(level.enter))
+        if self._probation_elapsed(now) < PROBATION_STEPS * PROBATION_STEP:
             return []
-        self.changes.append(now)
-        return [Change(before, self.at, why)]
-
-    def do_up(self, now, target):
-        quiet = now - self.left.get(target.name, -1e9)
-        if quiet < SOON:
-            self.lengthen(now, target)
+        if len(self._change_times) >= MAX_CHANGES:
+            return []
+        lower = [other for other in self._levels if other.rank < level.rank and not leave_met[other.name]]
+        if lower:
+            return self._apply(Input.RECOVERED_TO_LOWER_LEVEL, now, lower[-1], str(level.leave))
+        return self._apply(Input.RECOVERED, now, None, str(level.leave))
+
+    def _probation_elapsed(self, now: float) -> float:
+        # None on probation only where the configuration was replaced and the level has not relapsed since.
+        return now - cast(float, self._probation_since)
+
+    def _apply(
+        self, event: Input, now: float, target: DegradationLevel | None, reason: str
+    ) -> list[LevelChange]:
+        """Carry out the transition for an input and return the change of the active level, if any."""
+        transition = TRANSITIONS.get((self.state, event))
+        if transition is None:
+            return []
+        before = self.active_name
+        self.state = transition.state
+        self._effects[transition.effect](now, target)
+        if before == self.active_name:
+            return []
+        self._change_times.append(now)
+        return [LevelChange(before, self.active_name, reason)]
+
+    def _enter(self, now: float, target: DegradationLevel | None) -> None:
+        assert target is not None
+        name = target.name
+        quiet = now - self._left_at.get(name, -math.inf)
+        if quiet < FLAP_WINDOW:
+            self._lengthen_stay(now, target)
         else:
-            self.episode[target.name] = now
-            self.factor[target.name] = max(1.0, self.factor[target.name] * 0.5 ** min(9.0, quiet / SOON))
-        self.at, self.entered = target.name, now
-
-    def lengthen(self, now, level):
-        """The stay doubles, up to a bound that grows with how long the level has come and gone."""
-        most = max(STAY_MOST, EPISODE * (now - self.episode.get(level.name, now)) / level.stay)
-        self.factor[level.name] = min(most, 2 * self.factor[level.name])
-
-    def do_try_out(self, now, target):
-        self.tried_at = now
-
-    def do_back_in(self, now, target):
-        self.lengthen(now, target)
-        self.entered = now
-
-    def do_down(self, now, target):
-        self.left[self.at] = now
-        self.at, self.entered = (None if target is None else target.name), now
-
-    def do_pin(self, now, target):
-        self.at, self.entered = target.name, now
-
-    def do_unpin(self, now, target):
-        self.at, self.entered = None, now
-
-    do_drop = do_unpin
+            self._flapping_since[name] = now
+            halvings = min(MAX_HALVINGS, quiet / FLAP_WINDOW)
+            self.stay_factors[name] = max(1.0, self.stay_factors[name] * 0.5**halvings)
+        self._activate(now, target)
+
+    def _lengthen_stay(self, now: float, level: DegradationLevel) -> None:
+        """Double the stay of a level, up to a limit that grows with the time for which it has flapped."""
+        flapping_time = now - self._flapping_since.get(level.name, now)
+        limit = max(MAX_STAY_FACTOR, FLAPPING_STAY_RATIO * flapping_time / level.minimum_stay)
+        self.stay_factors[level.name] = min(limit, 2 * self.stay_factors[level.name])
+
+    def _begin_probation(self, now: float, _target: DegradationLevel | None) -> None:
+        self._probation_since = now
+
+    def _end_probation(self, now: float, target: DegradationLevel | None) -> None:
+        assert target is not None
+        self._lengthen_stay(now, target)
+        self._entered_at = now
+
+    def _leave(self, now: float, target: DegradationLevel | None) -> None:
+        assert self.active_name is not None
+        self._left_at[self.active_name] = now
+        self._activate(now, target)
+
+    def _activate_pinned(self, now: float, target: DegradationLevel | None) -> None:
+        self._activate(now, target)
+
+    def _clear(self, now: float, _target: DegradationLevel | None) -> None:
+        self._activate(now, None)
+
+    def _activate(self, now: float, level: DegradationLevel | None) -> None:
+        self.active_name = None if level is None else level.name
+        self._entered_at = now
--- a/valeturn/degradation/options.py
+++ b/valeturn/degradation/options.py
@@ -8,7 +8,7 @@
 from ..operator_config.schema import REQUIRED, Field, Shape
 from ..operator_config.value_types import Quantity, Switch, Wants, Whole
 from .conditions import ConditionType
-from .controller import Level
+from .controller import DegradationLevel
 from .reachability import why_unreachable
 
 
@@ -160,6 +160,6 @@
 def make(levels, names):
     """decision.Level values for a deployment that they fit."""
     return [
-        Level(name, one.rank, one.enter, one.leave, one.stay, one.gives(names.workloads))
+        DegradationLevel(name, one.rank, one.enter, one.leave, one.stay, one.gives(names.workloads))
         for name, one in levels.items()
     ]
--- a/valeturn/dispatch/degradation_monitor.py
+++ b/valeturn/dispatch/degradation_monitor.py
@@ -4,7 +4,7 @@
 from __future__ import annotations
 
 from ..admission import interface as it
-from ..degradation.controller import STATES, Decision
+from ..degradation.controller import DegradationController
 from ..degradation.signals import Signals
 
 FAILED = (it.Outcome.ERROR, it.Outcome.TIMED_OUT, it.Outcome.RESET, it.Outcome.UNREACHED)
@@ -13,7 +13,7 @@
 class Reducing:
     def __init__(self, now, levels, settings, count, log):
         self.settings, self.count, self.log = settings, count, log
-        self.decision, self.signals = Decision(levels, now), Signals(now)
+        self.decision, self.signals = DegradationController(levels, now), Signals(now)
         self.times, self.since, self.why, self.swept = {}, now, "", now
         self.spared = 0.0  # as the module was told last
 
@@ -28,15 +28,15 @@
     def sweep(self, now, cold):
         """The events for the module: the level that holds from now on, where it changed."""
         read = self.signals.read(now)
-        name = self.decision.at or "none"
+        name = self.decision.active_name or "none"
         self.times[name] = self.times.get(name, 0.0) + now - self.swept
         self.swept = now
-        if self.decision.at is None:
+        if self.decision.active_name is None:
             self.signals.learn_baselines(now, read)
         else:
             self.signals.skip_learning(now)
         told = self.told(now, self.decision.step(now, read, self.signals.baselines, cold), read)
-        spared = self.decision.spared(now)
+        spared = self.decision.spared_ratio(now)
         if spared != self.spared:
             self.count("levels.trials") if not self.spared else None
             self.spared = spared
@@ -50,24 +50,24 @@
 
     def free(self, now):
         """None where nothing is held by hand."""
-        changes = self.decision.free(now)
+        changes = self.decision.unpin(now)
         return None if changes is None else self.told(now, changes, self.signals.read(now))
 
     def told(self, now, changes, read):
         for change in changes:
             self.count("levels.changes")
-            self.since, self.why = now, change.why
+            self.since, self.why = now, change.reason
             known = {k: round(v, 4) for k, v in read.items() if v is not None}
-            way = {"from": change.before or "none", "to": change.after or "none", "why": change.why}
+            way = {"from": change.before or "none", "to": change.after or "none", "why": change.reason}
             self.log("level", {**way, **known})
         return [self.event()] if changes else []
 
     def event(self):
-        level = self.decision.level()
-        return it.Level(it.Reduced() if level is None else level.gives._replace(spared=self.spared))
+        level = self.decision.active_level()
+        return it.Level(it.Reduced() if level is None else level.restrictions._replace(spared=self.spared))
 
     def figures(self, now):
         """For the counters: which level, since when and why, and the seconds in each so far."""
         spent = {f"in_{name}_s": seconds for name, seconds in sorted(self.times.items())}
-        now_in = {"now": self.decision.at or "none", "for_s": now - self.since, "why": self.why or "-"}
-        return {**now_in, "state": STATES[self.decision.state], **spent}
+        now_in = {"now": self.decision.active_name or "none", "for_s": now - self.since, "why": self.why or "-"}
+        return {**now_in, "state": self.decision.state.value, **spent}
--- a/valeturn/lab/emulator.py
+++ b/valeturn/lab/emulator.py
@@ -224,7 +224,7 @@
             events = self.reducing.sweep(
                 now, self.cold and now - self.born < self.world.scene.settings.cold_time
             )
-            rank = self.reducing.decision.level()
+            rank = self.reducing.decision.active_level()
             self.world.totals.by_second[int(now)][2] += (
                 (rank.rank if rank else 0) * SWEEP / self.world.scene.servers
             )
--- a/valeturn/lab/levels.py
+++ b/valeturn/lab/levels.py
@@ -10,7 +10,7 @@
 
 from ..admission import interface as it
 from ..degradation.conditions import ConditionType
-from ..degradation.controller import Level
+from ..degradation.controller import DegradationLevel
 from .emulator import Mix, Scene, World
 
 WORKLOADS = (
@@ -70,7 +70,7 @@
 def levels():
     read = ConditionType().read
     return tuple(
-        Level(name, rank, read(enter), read(leave), stay, gives)
+        DegradationLevel(name, rank, read(enter), read(leave), stay, gives)
         for name, rank, enter, leave, stay, gives in LEVELS
     )
 
--- a/valeturn/server/components/degradation.py
+++ b/valeturn/server/components/degradation.py
@@ -30,7 +30,7 @@
 
     def take(self, built):
         self.built = built
-        self.reducing.decision.put(make(built, self.server.configuration.names))
+        self.reducing.decision.configure(make(built, self.server.configuration.names))
         self.server.core.put(Told(self.reducing.event()))  # what the present level gives up may have changed
 
     def answer(self, request):
--- a/valeturn/server/components/maintenance.py
+++ b/valeturn/server/components/maintenance.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ...control import requests
-from ...degradation.controller import CALM
+from ...degradation.controller import State
 from ...maintenance.coordinator import Measured, Turns
 from . import Part as Base
 
@@ -47,7 +47,7 @@
         if lately >= FEW:
             self.at_last = came, back
         level = server.parts.get("level")
-        reduced = level is not None and level.reducing.decision.state != CALM
+        reduced = level is not None and level.reducing.decision.state is not State.NORMAL
         strained = reduced or lately >= FEW and returned > TURNED_BACK * lately or not core.good
         return Measured(s.cores, busy, warm, strained, counts.get("out.delivered", 0))
 
