--- a/tests/degradation/test_degradation.py
+++ b/tests/degradation/test_degradation.py
@@ -14,7 +14,7 @@
 from valeturn.degradation import controller as d
 from valeturn.degradation import reachability
 from valeturn.degradation.conditions import ConditionType
-from valeturn.degradation.options import fit, make
+from valeturn.degradation.options import build_levels, fit
 from valeturn.degradation.signals import Signals
 from valeturn.dispatch import messages as msg
 from valeturn.dispatch.degradation_monitor import Reducing
@@ -526,7 +526,7 @@
     logged = []
     reducing = Reducing(
         ends.now,
-        make(options.get("level"), ends.names),
+        build_levels(options.get("level"), ends.names),
         ends.settings,
         ends.count,
         lambda event, fields: logged.append((event, fields)),
--- a/valeturn/degradation/__init__.py
+++ b/valeturn/degradation/__init__.py
@@ -1,5 +1,7 @@
-"""Levels of reduced service: which one a server is in, and why. No I/O.
+"""Degradation levels: which one a server is in, and why. No I/O.
 
-`conditions` reads what an operator writes, `signals` measures, `decision` holds the table, `options` checks
-the operator's sections. The module carries a level out; nothing is turned back here.
+`conditions` parses the conditions that an operator writes, `reachability` checks whether they can ever hold,
+`signals` measures what they read, `condition_tracker` times them, `controller` holds the state machine, and
+`options` checks the operator's sections. The admission controller carries out what a level restricts; no
+request is rejected here.
 """
--- a/valeturn/server/components/degradation.py
+++ b/valeturn/server/components/degradation.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ...control import requests
-from ...degradation.options import make
+from ...degradation.options import build_levels
 from ...dispatch.degradation_monitor import Reducing
 from ...dispatch.messages import Told
 from . import Part as Base
@@ -16,7 +16,7 @@
         super().__init__(server, built)
         names = server.configuration.names
         self.reducing = Reducing(
-            server.scheduler.clock(), make(built, names), names.settings, server.counters.add, server.log
+            server.scheduler.clock(), build_levels(built, names), names.settings, server.counters.add, server.log
         )
 
     def figures(self):
@@ -30,7 +30,7 @@
 
     def take(self, built):
         self.built = built
-        self.reducing.decision.configure(make(built, self.server.configuration.names))
+        self.reducing.decision.configure(build_levels(built, self.server.configuration.names))
         self.server.core.put(Told(self.reducing.event()))  # what the present level gives up may have changed
 
     def answer(self, request):
