--- /dev/null
+++ b/tests/degradation/test_conditions.py
@@ -0,0 +1,44 @@
+"""Conditions are parsed, formatted back, and rejected by the name of the broken rule."""
+
+import pytest
+from degradation_support import condition
+
+from valeturn.operator_config.value_types import Wants
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        "cores.busy > 80 % for 1 s",
+        "calls.latency > 3 x usual for 2 s",
+        "calls.latency > 50 ms",
+        "calls.failing > 20 % for 1 s or memory > 90 % and turned_back < 10 %",
+    ],
+)
+def test_condition_is_parsed_and_formatted_back(text):
+    read = condition(text)
+    assert condition(str(read)) == read
+
+
+@pytest.mark.parametrize(
+    ("text", "rule"),
+    [
+        ("cores.busy > 80", "missing-unit"),
+        ("cores.busy > 80 ms", "wrong-unit"),
+        ("calls.latency > 2.5 %", "wrong-unit"),
+        ("calls.latency > 2 s for 1 %", "wrong-unit"),
+        ("load > 1 %", "unknown-signal"),
+        ("cores.busy >", "unreadable-condition"),
+        ("cores.busy > 100 %", "never-holds"),
+        ("memory < 0 %", "never-holds"),
+        ("memory > 2 x usual", "no-usual"),
+        ("calls.latency > 1 s for 2 h", "out-of-range"),
+        ("calls.latency > 0 x usual", "out-of-range"),
+        ("cores.busy > 80 % for 1 s and", "unreadable-condition"),
+        ("", "unreadable-condition"),
+    ],
+)
+def test_malformed_condition_is_reported_by_its_rule(text, rule):
+    with pytest.raises(Wants) as wants:
+        condition(text)
+    assert wants.value.args[0] == rule
