--- a/valeturn/dispatch/degradation_monitor.py
+++ b/valeturn/dispatch/degradation_monitor.py
@@ -69,5 +69,6 @@
     def figures(self, now):
         """For the counters: which level, since when and why, and the seconds in each so far."""
         spent = {f"in_{name}_s": seconds for name, seconds in sorted(self.times.items())}
-        now_in = {"now": self.decision.active_name or "none", "for_s": now - self.since, "why": self.why or "-"}
+        name = self.decision.active_name or "none"
+        now_in = {"now": name, "for_s": now - self.since, "why": self.why or "-"}
         return {**now_in, "state": self.decision.state.value, **spent}
--- a/valeturn/server/components/degradation.py
+++ b/valeturn/server/components/degradation.py
@@ -16,7 +16,11 @@
         super().__init__(server, built)
         names = server.configuration.names
         self.reducing = Reducing(
-            server.scheduler.clock(), build_levels(built, names), names.settings, server.counters.add, server.log
+            server.scheduler.clock(),
+            build_levels(built, names),
+            names.settings,
+            server.counters.add,
+            server.log,
         )
 
     def figures(self):
