--- a/valeturn/lab/emulator.py
+++ b/valeturn/lab/emulator.py
@@ -196,7 +196,7 @@
         world = self.world
         self.subs[self.numbers] = sub
         if self.reducing:
-            self.reducing.signals.arrived(world.now, 0.0)
+            self.reducing.signals.record_request(world.now, 0.0)
         hint = sub.work * math.exp(0.3 * (world.chance.share() - 0.5))
         self.decide(
             [
@@ -224,7 +224,7 @@
             events = self.reducing.sweep(
                 now, self.cold and now - self.born < self.world.scene.settings.cold_time
             )
-            rank = self.reducing.decision.level()
+            rank = self.reducing.decision.active_level()
             self.world.totals.by_second[int(now)][2] += (
                 (rank.rank if rank else 0) * SWEEP / self.world.scene.servers
             )
@@ -249,7 +249,7 @@
             self.runs.pop(a.id, None)
             self.calls.pop(a.id, None)
         if self.reducing:
-            self.reducing.signals.turned_back(self.world.now)
+            self.reducing.signals.record_rejection(self.world.now)
         self.world.turned_back(self, sub, a)
 
     def do_write_off(self, a):
--- a/valeturn/lab/levels.py
+++ b/valeturn/lab/levels.py
@@ -9,8 +9,8 @@
 import pathlib
 
 from ..admission import interface as it
-from ..degradation.conditions import Kind
-from ..degradation.controller import Level
+from ..degradation.conditions import ConditionType
+from ..degradation.controller import DegradationLevel
 from .emulator import Mix, Scene, World
 
 WORKLOADS = (
@@ -68,9 +68,9 @@
 
 
 def levels():
-    read = Kind().read
+    read = ConditionType().read
     return tuple(
-        Level(name, rank, read(enter), read(leave), stay, gives)
+        DegradationLevel(name, rank, read(enter), read(leave), stay, gives)
         for name, rank, enter, leave, stay, gives in LEVELS
     )
 
