--- a/tests/digests/compaction.py
+++ b/tests/digests/compaction.py
@@ -6,26 +6,22 @@
 from collections.abc import Callable
 
 from valeturn.result_store.compaction_policy import (
-    FAILED,
-    HEALTH,
-    MANY,
-    OPENED,
-    OPENING,
-    RESTING,
-    RETRY,
-    UNREAD,
-    WELL,
-    Room,
-    View,
-    crowded,
+    DISK_TRANSITIONS,
+    DiskEvent,
+    DiskHealth,
     decide,
-    over,
-    room_in,
-    uncovered,
 )
+from valeturn.result_store.compaction_policy import LATE_READ_GRACE as UNREAD
+from valeturn.result_store.compaction_policy import MANY_SEGMENTS as MANY
+from valeturn.result_store.compaction_policy import CapacityView as Room
+from valeturn.result_store.compaction_policy import LogView as View
+from valeturn.result_store.compaction_policy import oldest_expired as over
+from valeturn.result_store.compaction_policy import oldest_not_covered as uncovered
+from valeturn.result_store.compaction_policy import retry_after as room_in
+from valeturn.result_store.compaction_policy import short_of_space as crowded
 
-DISK_STATES = (WELL, RESTING, OPENING)
-DISK_INPUTS = (FAILED, RETRY, OPENED)
+DISK_STATES = (DiskHealth.HEALTHY, DiskHealth.BACKING_OFF, DiskHealth.REOPENING)
+DISK_INPUTS = (DiskEvent.FAILED, DiskEvent.RETRY, DiskEvent.REOPENED)
 STEPS = 4000
 SEGMENT = 1000
 
@@ -83,18 +79,18 @@
     """Record each decision on generated input."""
     for state in DISK_STATES:
         for given in DISK_INPUTS:
-            found = HEALTH.get((state, given))
-            record(None if found is None else list(found))
+            found = DISK_TRANSITIONS.get((state, given))
+            record(None if found is None else [str(word) for word in found])
     chance = random.Random(seed)
-    health = WELL
+    health = DiskHealth.HEALTHY
     for _ in range(STEPS):
         view = generated_view(chance)
-        record(decide(view))
+        record(str(decide(view)))
         record([over(view), crowded(view)])
         if view.segments:
             record(uncovered(view))
         record(room_in(generated_room(chance)))
-        found = HEALTH.get((health, chance.choice(DISK_INPUTS)))
-        record(None if found is None else list(found))
+        found = DISK_TRANSITIONS.get((health, chance.choice(DISK_INPUTS)))
+        record(None if found is None else [str(word) for word in found])
         if found is not None:
             health = found[0]
--- a/tests/digests/entry_states.py
+++ b/tests/digests/entry_states.py
@@ -5,27 +5,12 @@
 import random
 from collections.abc import Callable
 
-from valeturn.result_store.entry_states import (
-    ABSENT,
-    DONE,
-    ENDED,
-    EXPIRED,
-    FAILED,
-    KEPT,
-    MAYBE,
-    MEETS,
-    NOTE,
-    NOTED,
-    RESTART,
-    SENT,
-    SYNCED,
-    UNBEGUN,
-    UNSYNCED,
-    move,
-)
-
-STATES = (ABSENT, NOTED, SENT, KEPT, FAILED, MAYBE)
-INPUTS = (NOTE, SYNCED, UNSYNCED, DONE, ENDED, UNBEGUN, RESTART, EXPIRED)
+from valeturn.result_store.entry_states import ABSENT, ALL_STATES, LOOKUP_OUTCOMES, transition
+
+STATES = ALL_STATES
+INPUTS = range(8)
+# The words of the recorded digests.
+WORDS = {None: None, "reject": "refuse", "execute": "run", "coalesce": "join", "fail": "write_off"}
 KEYS = 40
 STEPS = 6000
 
@@ -35,21 +20,21 @@
     if found is None:
         return None
     state, effect = found
-    return [STATES.index(state), effect]
+    return [STATES.index(state), WORDS.get(effect, effect and str(effect))]
 
 
 def play(seed: int, record: Callable[[object], None]) -> None:
     """Record the move of each pair, then of generated inputs."""
     for state in STATES:
-        record(MEETS[state])
+        record(WORDS.get(LOOKUP_OUTCOMES[state], str(LOOKUP_OUTCOMES[state])))
         for given in INPUTS:
-            record(plain(move(state, given)))
+            record(plain(transition(state, given)))
     chance = random.Random(seed)
     keys = [ABSENT] * KEYS
     for _ in range(STEPS):
         key = chance.randrange(KEYS)
-        found = move(keys[key], chance.choice(INPUTS))
+        found = transition(keys[key], chance.choice(INPUTS))
         record([key, plain(found)])
         if found is not None:
             keys[key] = found[0]
-        record(MEETS[keys[key]])
+        record(WORDS.get(LOOKUP_OUTCOMES[keys[key]], str(LOOKUP_OUTCOMES[keys[key]])))
--- a/tests/digests/window_clock.py
+++ b/tests/digests/window_clock.py
@@ -5,7 +5,10 @@
 import random
 from collections.abc import Callable
 
-from valeturn.result_store.window_clock import Clock, Moment, Stamp, resume, same_boot
+from valeturn.result_store.window_clock import ClockReading as Moment
+from valeturn.result_store.window_clock import StoreTimestamp as Stamp
+from valeturn.result_store.window_clock import WindowClock as Clock
+from valeturn.result_store.window_clock import resume, same_boot
 
 STEPS = 6000
 
@@ -55,13 +58,13 @@
     machine = Machine(chance)
     record(resume(None, machine.read()))
     clock = Clock(None, machine.read)
-    stamp = clock.stamp()
+    stamp = clock.timestamp()
     for _ in range(STEPS):
         machine.goes_on()
         record(clock.now())
         kind = chance.random()
         if kind < 0.2:
-            stamp = clock.stamp()
+            stamp = clock.timestamp()
             record(plain(stamp))
         elif kind < 0.3:
             if chance.random() < 0.5:
@@ -69,6 +72,6 @@
             kept = None if chance.random() < 0.05 else stamp
             moment = machine.read()
             record(resume(kept, moment))
-            record(same_boot(stamp.moment, moment))
+            record(same_boot(stamp.reading, moment))
             clock = Clock(kept, machine.read)
-            record([clock.start, clock.boot])
+            record([clock.start, clock.start_boot])
--- a/tests/disk.py
+++ b/tests/disk.py
@@ -153,7 +153,7 @@
         self.wall, self.boot = self.wall + seconds, self.boot + seconds
 
     def moment(self):
-        return window_clock.Moment(self.wall, self.boot, self.boot_id)
+        return window_clock.ClockReading(self.wall, self.boot, self.boot_id)
 
     def count(self, name, amount=1):
         self.counts[name] = self.counts.get(name, 0) + amount
@@ -190,7 +190,7 @@
         """How a newcomer fares: what it meets, or `refused`, or `started` once its intent is durable."""
         digest = self.kept.digest("book", key)
         meets = self.kept.meets(digest, 0.0)
-        if meets.how != "run":
+        if meets.how != "execute":
             return meets.how
         if self.kept.room_in():
             return "refused"
--- a/tests/result_store/test_keyed_results.py
+++ b/tests/result_store/test_keyed_results.py
@@ -258,8 +258,8 @@
     world.disk()
     assert world.commands() == [sent] and world.commands("KILL") == [sent]
     world.restart()
-    assert world.kept.meets(world.kept.digest("book", "sent"), 0.0).how == "write_off"
-    assert world.kept.meets(world.kept.digest("book", "on its way"), 0.0).how == "run"
+    assert world.kept.meets(world.kept.digest("book", "sent"), 0.0).how == "fail"
+    assert world.kept.meets(world.kept.digest("book", "on its way"), 0.0).how == "execute"
 
 
 def test_without_a_store_a_full_table_of_repeats_turns_back_instead_of_running_unmarked():
--- a/tests/result_store/test_result_store.py
+++ b/tests/result_store/test_result_store.py
@@ -6,7 +6,7 @@
 from disk import Machine, seeded
 
 from valeturn.result_store import compaction_policy, entry_states, records, recovery, snapshot
-from valeturn.result_store.entry_states import DONE, ENDED, MAYBE, UNBEGUN
+from valeturn.result_store.entry_states import ENDED_WITHOUT_RESULT, IN_DOUBT, NEVER_STARTED, SUCCEEDED
 from valeturn.result_store.index import Index
 from valeturn.result_store.opening import open_folder
 from valeturn.result_store.recovery import Refused
@@ -37,32 +37,39 @@
 def plain_entry(state, given):
     """The states of an entry by a plain reading: what is on the disk, and who may still run."""
     if given == entry_states.RESTART:
-        return MAYBE if state in (entry_states.NOTED, entry_states.SENT) else state
-    if given == entry_states.EXPIRED:
-        return entry_states.ABSENT if state in (entry_states.KEPT, entry_states.FAILED, MAYBE) else None
-    if given == entry_states.NOTE:
-        return entry_states.NOTED if state == entry_states.ABSENT else None
-    if given in (entry_states.SYNCED, entry_states.UNSYNCED):
+        return IN_DOUBT if state in (entry_states.INTENT_PENDING, entry_states.EXECUTING) else state
+    if given == entry_states.WINDOW_ENDED:
+        return entry_states.ABSENT if state in (entry_states.STORED, entry_states.FAILED, IN_DOUBT) else None
+    if given == entry_states.START:
+        return entry_states.INTENT_PENDING if state == entry_states.ABSENT else None
+    if given in (entry_states.INTENT_DURABLE, entry_states.INTENT_LOST):
         return (
-            {entry_states.SYNCED: entry_states.SENT, entry_states.UNSYNCED: entry_states.ABSENT}[given]
-            if state == entry_states.NOTED
+            {
+                entry_states.INTENT_DURABLE: entry_states.EXECUTING,
+                entry_states.INTENT_LOST: entry_states.ABSENT,
+            }[given]
+            if state == entry_states.INTENT_PENDING
+            else None
+        )
+    if given == NEVER_STARTED:
+        return (
+            entry_states.ABSENT
+            if state in (entry_states.INTENT_PENDING, entry_states.EXECUTING, IN_DOUBT)
             else None
         )
-    if given == UNBEGUN:
-        return entry_states.ABSENT if state in (entry_states.NOTED, entry_states.SENT, MAYBE) else None
     return (
-        {DONE: entry_states.KEPT, ENDED: entry_states.FAILED}[given]
-        if state in (entry_states.SENT, MAYBE)
+        {SUCCEEDED: entry_states.STORED, ENDED_WITHOUT_RESULT: entry_states.FAILED}[given]
+        if state in (entry_states.EXECUTING, IN_DOUBT)
         else None
     )
 
 
 def test_the_table_and_the_plain_reading_agree_on_every_pair():
-    for state in range(len(entry_states.STATES)):
+    for state in entry_states.ALL_STATES:
         for given in range(8):
-            found = entry_states.move(state, given)
+            found = entry_states.transition(state, given)
             assert (found[0] if found else None) == plain_entry(state, given), (state, given)
-    assert set(entry_states.MEETS) == set(range(len(entry_states.STATES)))
+    assert set(entry_states.LOOKUP_OUTCOMES) == set(entry_states.ALL_STATES)
 
 
 def test_what_is_known_after_a_restart(machine):
@@ -70,26 +77,26 @@
     machine.kept_run("done", 1, b"result")
     machine.begin("running", 2)
     machine.begin("failed", 3)
-    machine.finish("failed", 3, ENDED)
+    machine.finish("failed", 3, ENDED_WITHOUT_RESULT)
     machine.begin("unsent", 4)
-    machine.finish("unsent", 4, UNBEGUN)
+    machine.finish("unsent", 4, NEVER_STARTED)
     before = [machine.ask(key) for key in ("done", "running", "failed", "unsent", "new")]
     assert before == [
         ("answer", b"result"),
-        ("join", None),
-        ("write_off", None),
-        ("run", None),
-        ("run", None),
+        ("coalesce", None),
+        ("fail", None),
+        ("execute", None),
+        ("execute", None),
     ]
     machine.kill()
     machine.start()
     after = [machine.ask(key) for key in ("done", "running", "failed", "unsent", "new")]
     assert after == [
         ("answer", b"result"),
-        ("write_off", None),
-        ("write_off", None),
-        ("run", None),
-        ("run", None),
+        ("fail", None),
+        ("fail", None),
+        ("execute", None),
+        ("execute", None),
     ]
 
 
@@ -100,15 +107,19 @@
     machine.kill()
     kept = machine.start()
     assert kept.unsettled((1).to_bytes(8, "big")) == "book" and kept.unsettled(b"another.") is None
-    assert kept.told((1).to_bytes(8, "big"), DONE, b"late") and kept.told((2).to_bytes(8, "big"), ENDED)
-    assert kept.told((3).to_bytes(8, "big"), UNBEGUN) and not kept.told((3).to_bytes(8, "big"), UNBEGUN)
+    assert kept.told((1).to_bytes(8, "big"), SUCCEEDED, b"late") and kept.told(
+        (2).to_bytes(8, "big"), ENDED_WITHOUT_RESULT
+    )
+    assert kept.told((3).to_bytes(8, "big"), NEVER_STARTED) and not kept.told(
+        (3).to_bytes(8, "big"), NEVER_STARTED
+    )
     assert machine.ask("done") == ("answer", b"late"), "answered before it is on the disk"
     kept.flush()
     kept.collect()
     machine.kill()
     machine.start()
     asked = [machine.ask(key) for key in ("done", "failed", "never", "silent")]
-    assert asked == [("answer", b"late"), ("write_off", None), ("run", None), ("write_off", None)]
+    assert asked == [("answer", b"late"), ("fail", None), ("execute", None), ("fail", None)]
 
 
 def test_a_start_is_asked_for_only_once_its_intent_is_durable(machine):
@@ -117,7 +128,7 @@
     kept.collect()
     kept.note(1, kept.digest("book", "a"), 30.0, bytes(8), "book")
     kept.flush()
-    assert kept.collect() == [] and machine.ask("a")[0] == "join"
+    assert kept.collect() == [] and machine.ask("a")[0] == "coalesce"
     kept.helper.step()
     synced = {
         name: machine.disk.synced[key] == len(machine.disk.data[key])
@@ -163,7 +174,7 @@
         other.disk.synced = {1: cut, 2: 32}
         other.disk.next = 2
         other.start()
-        assert other.ask("first") == ("answer", b"one") and other.ask("second")[0] == "run", cut
+        assert other.ask("first") == ("answer", b"one") and other.ask("second")[0] == "execute", cut
         assert ("store_torn" in events(other)) == (cut > whole) and "store_damage" not in events(other)
         other.kept_run("second", 3, b"two")
         other.kill()
@@ -191,7 +202,7 @@
             key = f"k{chance.randrange(40)}"
             meets = kept.meets(kept.digest("book", key), 0.0)
             ran = sent.get(key, 0.0) > now
-            if meets.how == "run":
+            if meets.how == "execute":
                 assert not ran, f"step {step}: {key} would run again"
                 if not kept.room_in():
                     number += 1
@@ -205,15 +216,20 @@
         elif roll < 0.45 and running:
             number_of = chance.choice(sorted(running))
             key = running.pop(number_of)
-            given, body = chance.choice((DONE, DONE, ENDED)), b"%s by %d" % (key.encode(), number_of)
-            if given == DONE and newest[key] == number_of:  # one whose window ended while it ran is nobody's
+            given, body = (
+                chance.choice((SUCCEEDED, SUCCEEDED, ENDED_WITHOUT_RESULT)),
+                b"%s by %d" % (key.encode(), number_of),
+            )
+            if (
+                given == SUCCEEDED and newest[key] == number_of
+            ):  # one whose window ended while it ran is nobody's
                 results[key] = body
-            kept.over(number_of, kept.digest("book", key), given, body if given == DONE else None)
+            kept.over(number_of, kept.digest("book", key), given, body if given == SUCCEEDED else None)
         elif roll < 0.5 and open_notes:
             number_of = chance.choice(sorted(open_notes))
             if number_of < 1_000_000:
                 key, _ = open_notes.pop(number_of)
-                kept.over(number_of, kept.digest("book", key), UNBEGUN)
+                kept.over(number_of, kept.digest("book", key), NEVER_STARTED)
         elif roll < 0.51:
             machine.files.fail[chance.choice(("write", "sync", "create", "sync_folder", "rename"))] = (
                 chance.randrange(1, 3),
@@ -256,19 +272,24 @@
     machine.kept_run("old", 1, b"kept")
     machine.begin("running", 2)
     machine.files.fail[what] = (1, code)
-    assert machine.begin("new", 3) == "refused" and machine.kept.health == compaction_policy.RESTING
+    assert (
+        machine.begin("new", 3) == "refused"
+        and machine.kept.health == compaction_policy.DiskHealth.BACKING_OFF
+    )
     assert machine.kept.room_in() > 0 and machine.begin("other", 4) == "refused"
     assert machine.ask("old") == ("answer", b"kept"), "reads go on"
-    machine.finish("running", 2, DONE, b"late")
+    machine.finish("running", 2, SUCCEEDED, b"late")
     assert machine.ask("running") == ("answer", b"late")
     machine.tend(15)  # past the rest: a new segment, and what waited is written to it
-    assert machine.kept.health == compaction_policy.WELL and "store_disk_well" in events(machine)
+    assert machine.kept.health == compaction_policy.DiskHealth.HEALTHY and "store_disk_well" in events(
+        machine
+    )
     machine.kept_run("new", 5, b"now")
     machine.kill()
     machine.start()
     assert "store_damage" not in events(machine), "what the failed write left is no damage"
     asked = [machine.ask(key) for key in ("old", "running", "new", "other")]
-    assert asked == [("answer", b"kept"), ("answer", b"late"), ("answer", b"now"), ("run", None)]
+    assert asked == [("answer", b"kept"), ("answer", b"late"), ("answer", b"now"), ("execute", None)]
 
 
 def test_a_disk_that_stays_full_turns_back_and_comes_back(machine):
@@ -295,9 +316,9 @@
     assert len(kept.collect()) == 60
     kept.bounds = kept.bounds._replace(waiting=65_536)
     for number in range(1, 61):
-        kept.over(number, kept.digest("book", str(number)), DONE, bytes(4096))
+        kept.over(number, kept.digest("book", str(number)), SUCCEEDED, bytes(4096))
     assert kept.waiting() < 65_536 + 5000 and machine.counts["store.results_lost"] > 20
-    assert machine.ask("60") == ("write_off", None), "known to have run, its result is not there"
+    assert machine.ask("60") == ("fail", None), "known to have run, its result is not there"
 
 
 def test_a_folder_that_is_in_use_or_too_new_or_without_its_key_is_refused_untouched(machine):
@@ -365,7 +386,7 @@
     damaged_in_the_middle(machine).start()
     assert {"store_damage", "store_unsure"} <= set(events(machine))
     assert machine.ask("k3") == ("answer", b"body 3") and machine.ask("k5") == ("answer", b"body 5")
-    assert machine.ask("k4") == ("write_off", None), "its intent is whole, its result is lost"
+    assert machine.ask("k4") == ("fail", None), "its intent is whole, its result is lost"
     assert machine.begin("new", 20) == "refused", "it may have run in what was lost"
     assert 25 < machine.kept.room_in() <= 30
     machine.tend(30)  # the snapshot stands, and the segment is set aside
@@ -462,7 +483,7 @@
     assert len(log_files(machine)) <= 2 and machine.counts["store.segments_dropped"] >= 1
     machine.kill()
     machine.start()
-    assert machine.ask("k1")[0] == "run" and "store_damage" not in events(machine)
+    assert machine.ask("k1")[0] == "execute" and "store_damage" not in events(machine)
 
 
 def test_compaction_keeps_what_is_in_its_window_and_is_cut_at_every_step_without_loss():
@@ -499,7 +520,7 @@
         machine.start()
         assert "store_damage" not in events(machine), point
         for number in range(1, 61):
-            expected = ("answer", b"body %d" % number) if number % 3 else ("run", None)
+            expected = ("answer", b"body %d" % number) if number % 3 else ("execute", None)
             assert machine.ask(f"k{number}") == expected, (point, number)
         if whole:
             assert point > 10
@@ -512,7 +533,7 @@
     machine.start()
     number = 0
     while machine.begin(f"k{number}", number + 1, window=60.0) == "started":
-        machine.finish(f"k{number}", number + 1, DONE, bytes(4000))
+        machine.finish(f"k{number}", number + 1, SUCCEEDED, bytes(4000))
         number += 1
     assert number > 50
     files = sum(len(data) for data in log_files(machine).values())
@@ -590,18 +611,22 @@
 
 def plain_upkeep(v):
     """What is to be done, said as a person would."""
-    if not v.well:
+    if not v.healthy:
         return "nothing"
     used = sum(size for _, size, _ in v.segments) + v.active[1]
     if v.segments:
         number, size, until = v.segments[0]
         ended = v.now - until > 5.0
-        many = len(v.segments) > 24 and 2 * size < v.segment
-        if ended or v.now >= v.rest_until and (many or 4 * used > 3 * v.usable):
+        many = len(v.segments) > 24 and 2 * size < v.segment_limit
+        if ended or v.now >= v.pause_until and (many or 4 * used > 3 * v.usable):
             if number >= v.covered:
                 return "snapshot"
             return "drop" if ended else "compact"
-    return "snapshot" if v.unsnapped > 2 * v.segment and 2 * v.unsnapped > v.snapshot_size else "nothing"
+    return (
+        "snapshot"
+        if v.unsnapshotted > 2 * v.segment_limit and 2 * v.unsnapshotted > v.snapshot_size
+        else "nothing"
+    )
 
 
 def test_upkeep_and_its_plain_reading_agree():
@@ -612,7 +637,7 @@
             (first + n, chance.choice((100, 900)), chance.choice((50.0, 94.0, 96.0, 200.0)))
             for n in range(chance.choice((0, 1, 3, 30)))
         )
-        view = compaction_policy.View(
+        view = compaction_policy.LogView(
             100.0,
             segments,
             (first + len(segments), chance.randrange(1000)),
@@ -630,16 +655,16 @@
 
 
 def test_room_is_refused_by_each_bound_alone_and_says_when():
-    room = compaction_policy.Room(10, 100, 500, 100, 1000, 0, 50, -1.0, 0.0, 7.0)
-    assert compaction_policy.room_in(room) == 0.0
+    room = compaction_policy.CapacityView(10, 100, 500, 100, 1000, 0, 50, -1.0, 0.0, 7.0)
+    assert compaction_policy.retry_after(room) == 0.0
     for change, seconds in (
         ({"keys": 100}, 12.0),
         ({"used": 950}, 12.0),
         ({"waiting": 60}, 1.0),
-        ({"sure_in": 3.0}, 3.0),
-        ({"well_in": 0.4}, 0.4),
+        ({"in_doubt_for": 3.0}, 3.0),
+        ({"disk_retry_in": 0.4}, 0.4),
     ):
-        assert compaction_policy.room_in(room._replace(**change)) == seconds, change
+        assert compaction_policy.retry_after(room._replace(**change)) == seconds, change
 
 
 # ---- time
@@ -677,7 +702,7 @@
     assert machine.ask("a")[0] == "answer"
     machine.wall -= 2e6
     machine.pass_time(40)
-    assert machine.ask("a")[0] == "run"
+    assert machine.ask("a")[0] == "execute"
 
 
 def test_a_window_that_grew_is_not_ended_by_its_old_second(machine):
@@ -710,7 +735,7 @@
                 step,
                 chance.randrange(1000),
                 7,
-                chance.choice((MAYBE, entry_states.KEPT)),
+                chance.choice((IN_DOUBT, entry_states.STORED)),
             )
             index.put(key, *row)
             plain[key] = row
@@ -777,7 +802,7 @@
     for number in range(1, 21):
         how, body = machine.ask(f"k{number}")
         assert body in (None, b"body %d" % number)
-        assert how != "run" or machine.kept.room_in() > 0, "forgotten, and told so by nobody"
+        assert how != "execute" or machine.kept.room_in() > 0, "forgotten, and told so by nobody"
 
 
 def test_damage_is_found_by_a_scan_and_named_by_verify(tmp_path):
@@ -794,7 +819,7 @@
         machine.limits,
         files,
         Inline(),
-        lambda: window_clock.read("b"),
+        lambda: window_clock.read_clocks("b"),
         30.0,
         machine.count,
         lambda *_: None,
@@ -805,7 +830,7 @@
     assert kept.close(1.0)
     assert commands.main("verify", str(tmp_path)) == 0 and commands.main("inspect", str(tmp_path)) == 0
     assert commands.main("compact", str(tmp_path)) == 0 and commands.main("verify", str(tmp_path)) == 0
-    opened = open_folder(Files(str(tmp_path)), window_clock.read("b"))
+    opened = open_folder(Files(str(tmp_path)), window_clock.read_clocks("b"))
     assert opened.found.index.count == 29
     last = max(tmp_path.glob("*.log"))
     data = bytearray(last.read_bytes())
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -33,7 +33,8 @@
 from valeturn.result_store.limits import StoreBounds
 from valeturn.result_store.opening import open_folder
 from valeturn.result_store.store import Kept as KeptResults
-from valeturn.result_store.window_clock import Moment, Stamp
+from valeturn.result_store.window_clock import ClockReading as Moment
+from valeturn.result_store.window_clock import StoreTimestamp as Stamp
 from valeturn.server.components import control as control_part
 from valeturn.transport.scheduler import Scheduler
 from valeturn.transport.seeded_random import Chance
@@ -512,7 +513,7 @@
     def meets(self, mark: str) -> list[Any]:
         """What a repeat meets, and the result where there is one."""
         found = self.kept.meets(self.kept.digest("book", mark), 0.0)
-        how = found.how
+        how = {"execute": "run", "coalesce": "join", "fail": "write_off"}.get(found.how, str(found.how))
         if how != "answer":
             return [how, None]
         body = self.kept.fetch(99, found)
@@ -529,29 +530,29 @@
         mark = f"done {number}"
         machine.begin(mark, number)
         body = bytes(range(256)) * (number % 3) + b"result of %d" % number
-        machine.end(mark, number, entry_states.DONE, body)
+        machine.end(mark, number, entry_states.SUCCEEDED, body)
         machine.pass_time(0.25)
     machine.begin("done without a byte", 13)
-    machine.end("done without a byte", 13, entry_states.DONE, b"")
+    machine.end("done without a byte", 13, entry_states.SUCCEEDED, b"")
     machine.begin("failed", 14)
-    machine.end("failed", 14, entry_states.ENDED)
+    machine.end("failed", 14, entry_states.ENDED_WITHOUT_RESULT)
     machine.begin("never sent", 15)
-    machine.end("never sent", 15, entry_states.UNBEGUN)
+    machine.end("never sent", 15, entry_states.NEVER_STARTED)
     machine.begin("of a short window", 16, 60.0)
-    machine.end("of a short window", 16, entry_states.DONE, b"soon over")
+    machine.end("of a short window", 16, entry_states.SUCCEEDED, b"soon over")
     machine.begin("running at the snapshot", 17)
     machine.begin("told after the restart", 18)
     machine.tend(80)
     machine.begin("done after the snapshot", 19)
-    machine.end("done after the snapshot", 19, entry_states.DONE, b"behind it")
+    machine.end("done after the snapshot", 19, entry_states.SUCCEEDED, b"behind it")
     machine.begin("running at the end", 20)
     machine.files.release()
     machine = Machine(folder, REBOOTED)
-    assert machine.kept.told((18).to_bytes(8, "big"), entry_states.DONE, b"late")
+    assert machine.kept.told((18).to_bytes(8, "big"), entry_states.SUCCEEDED, b"late")
     machine.kept.flush()
     machine.kept.collect()
     machine.begin("last", 21)
-    machine.end("last", 21, entry_states.DONE, b"the last frame")
+    machine.end("last", 21, entry_states.SUCCEEDED, b"the last frame")
     machine.files.release()
 
 
--- a/valeturn/dispatch/deduplication.py
+++ b/valeturn/dispatch/deduplication.py
@@ -63,12 +63,12 @@
         if repeats is not None:
             return repeats, 0.0
         meets = self.kept.meets(sub.digest, waited)
-        if meets.how == "run":
+        if meets.how == "execute":
             room_in = self.kept.room_in()
             if not room_in:
                 self.kept.promise(sub.number)
             return None, room_in
-        if meets.how == "join" and meets.live.number in self.core.open:
+        if meets.how == "coalesce" and meets.live.number in self.core.open:
             return meets.live.number, 0.0
         self.core.count("store.repeats")
         sub.meets = meets
--- a/valeturn/lab/storebench.py
+++ b/valeturn/lab/storebench.py
@@ -42,7 +42,7 @@
 
 
 def open_kept(folder, keys, helper=None):
-    files, boot = Files(str(folder)), window_clock.boot_id()
+    files, boot = Files(str(folder)), window_clock.read_boot_id()
     if not files.prepare():
         raise SystemExit(f"valeturn: {folder}: another process has it")
     derived = limits.derive(2 * keys * 600 + 100_000_000, max(8_000_000, 150 * keys), 4_000_000)
@@ -51,7 +51,7 @@
         derived,
         files,
         helper or Helper(),
-        lambda: window_clock.read(boot),
+        lambda: window_clock.read_clocks(boot),
         86400.0,
         lambda *_: None,
         lambda *_: None,
@@ -66,7 +66,7 @@
         while len(under_way) < AT_ONCE and made < keys:
             made += 1
             digest = kept.digest("book", mark(made))
-            if kept.meets(digest, 0.0).how != "run" or kept.room_in():
+            if kept.meets(digest, 0.0).how != "execute" or kept.room_in():
                 raise SystemExit(f"valeturn: no room for key {made}")
             under_way[made] = digest, time.perf_counter()
             kept.note(made, digest, 86400.0, made.to_bytes(8, "big"), "book")
@@ -77,7 +77,7 @@
                 raise SystemExit("valeturn: the disk failed")
             digest, began = under_way.pop(number)
             waits.record_value(max(1, int(1e6 * (time.perf_counter() - began))))
-            kept.over(number, digest, entry_states.DONE, RESULT)
+            kept.over(number, digest, entry_states.SUCCEEDED, RESULT)
             ended += 1
     kept.flush()
     while kept.pending or kept.flying:
@@ -172,7 +172,7 @@
     index = Index()
     began, most, last = time.perf_counter(), 0.0, time.perf_counter()
     for digest in digests:
-        index.put(digest, 1, 2, 3, 4, entry_states.KEPT)
+        index.put(digest, 1, 2, 3, 4, entry_states.STORED)
         now = time.perf_counter()
         most, last = max(most, now - last), now
     took = time.perf_counter() - began
--- a/valeturn/result_store/commands.py
+++ b/valeturn/result_store/commands.py
@@ -8,13 +8,15 @@
 from ..transport.worker_thread import Inline
 from . import directory as names
 from . import limits, records, window_clock
-from .compaction_policy import UNREAD
+from .compaction_policy import LATE_READ_GRACE
 from .directory import Files
-from .entry_states import STATES
 from .opening import open_folder
 from .recovery import Refused
 from .store import Kept
 
+# The names of the entries' states that `inspect` prints, by entry_states.ALL_STATES.
+STATES = ("absent", "noted", "sent", "kept", "failed", "maybe")
+
 
 class Plain:
     """What Kept asks of the operator's file."""
@@ -39,7 +41,7 @@
 
 
 def _open(folder):
-    moment = window_clock.read(window_clock.boot_id())
+    moment = window_clock.read_clocks(window_clock.read_boot_id())
     opened = open_folder(Files(folder), moment, may_make=False)
     return opened, window_clock.resume(opened.found.stamp, moment)
 
@@ -50,7 +52,7 @@
     found, states, ended = opened.found, dict.fromkeys(STATES, 0), 0
     for shard in range(len(found.index.shards)):
         for row in found.index.rows(shard):
-            if row.until + UNREAD > now:
+            if row.until + LATE_READ_GRACE > now:
                 states[STATES[row.state]] += 1
             else:
                 ended += 1
@@ -110,9 +112,9 @@
     if not files.prepare():
         print(f"valeturn: {folder}: another process has it", file=sys.stderr)
         return 2
-    boot_id = window_clock.boot_id()
+    boot_id = window_clock.read_boot_id()
     before = sum(files.size(file) for file in files.names())
-    open_folder(files, window_clock.read(boot_id), may_make=False)
+    open_folder(files, window_clock.read_clocks(boot_id), may_make=False)
     said = []
     derived = limits.derive(1 << 60, 1 << 40, 4_000_000)
     kept = Kept(
@@ -120,7 +122,7 @@
         derived,
         files,
         Inline(),
-        lambda: window_clock.read(boot_id),
+        lambda: window_clock.read_clocks(boot_id),
         0.0,
         lambda *_: None,
         lambda event, fields: said.append((event, fields)),
--- a/valeturn/result_store/compaction_policy.py
+++ b/valeturn/result_store/compaction_policy.py
@@ -1,104 +1,150 @@
-"""What is done with the log in the background, and whether there is room for one more key. No I/O.
+"""Decisions about the log's upkeep and about capacity for one more key, without I/O.
 
-Segments are a queue: only the oldest is dropped or compacted, so that those there are follow one another
-without a gap and a missing one is told as damage. One goes only when a durable snapshot holds all that it
-said.
+Segments form a queue: only the oldest is dropped or compacted, so that the remaining numbers have no gap and
+a missing segment is recognized as damage. A segment is removed only when a durable snapshot covers all its
+records.
 """
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from enum import StrEnum
+from typing import Final, NamedTuple
 
-UNREAD = 5.0  # s that an entry stays past its window, for repeats that came in time and were read late
-MANY = 24  # segments, past which small ones are put together: each start begins one
-FULL = 0.75  # of what may be used, past which the oldest is looked through for what is over
-FUTILE = 0.9  # share of a compacted segment that had to be copied, from which the next waits
-REST = 10.0  # s of that wait: without it a full log would be written round and round
-NOTHING, SNAPSHOT, DROP, COMPACT = "nothing", "snapshot", "drop", "compact"
+# Seconds that an entry stays past its window, for duplicates that arrived in time and were read late.
+LATE_READ_GRACE: Final = 5.0
+# Number of segments past which small ones are merged by compaction: each start of the server begins one.
+MANY_SEGMENTS: Final = 24
+# Share of the usable bytes past which the oldest segment is compacted.
+HIGH_WATER_SHARE: Final = 0.75
+# Share of a compacted segment that had to be copied from which compaction pauses, as it gains too little.
+FUTILE_COPY_SHARE: Final = 0.9
+# Seconds of that pause: without it a full log would be rewritten without end.
+FUTILE_PAUSE: Final = 10.0
+# Seconds after which a rejected request is told to come back where nothing better is known.
+DEFAULT_RETRY_AFTER: Final = 1.0
 
 
-class View(NamedTuple):
-    """What the decision looks at."""
+class LogAction(StrEnum):
+    """What is done with the log in the background."""
 
-    now: float  # store time
-    segments: tuple  # (number, size, longest until), the oldest first, without the one that is written
-    active: tuple  # (number, size) of that one
-    covered: int  # all segments below this number stand in the durable snapshot
-    unsnapped: int  # bytes of log behind the snapshot's position
-    snapshot_size: int
-    segment: int  # bytes at which a segment is full
-    usable: int
-    well: bool  # the disk takes writes
-    rest_until: float
+    NOTHING = "nothing"
+    SNAPSHOT = "snapshot"
+    DROP = "drop"
+    COMPACT = "compact"
 
 
-def over(view):
-    """The oldest segment holds nothing that is still in its window."""
-    return bool(view.segments) and view.now > view.segments[0][2] + UNREAD
+class SegmentView(NamedTuple):
+    """A closed segment as the policy sees it."""
 
+    number: int
+    size: int  # bytes
+    longest_until: float  # store time in seconds at which the last of its windows ends
 
-def crowded(view):
-    """Space runs out, or there are many small files."""
+
+class LogView(NamedTuple):
+    """The input of `decide`."""
+
+    now: float  # store time, seconds
+    segments: tuple[SegmentView, ...]  # the oldest first, without the active one
+    active: tuple[int, int]  # number and size in bytes of the segment being written
+    covered: int  # all segments below this number are covered by the durable snapshot
+    unsnapshotted: int  # bytes of log behind the snapshot's position
+    snapshot_size: int  # bytes
+    segment_limit: int  # bytes at which a segment is full
+    usable: int  # bytes that the log may use
+    healthy: bool  # the disk accepts writes
+    pause_until: float  # store time, seconds: no compaction for space before it
+
+
+def oldest_expired(view: LogView) -> bool:
+    """Return whether the oldest segment holds no entry that is still in its window."""
+    return bool(view.segments) and view.now > view.segments[0][2] + LATE_READ_GRACE
+
+
+def short_of_space(view: LogView) -> bool:
+    """Return whether space runs out or there are many small segments, and no pause is in force."""
+    if not view.segments or view.now < view.pause_until:
+        return False
     used = sum(size for _, size, _ in view.segments) + view.active[1]
-    many = len(view.segments) > MANY and view.segments[0][1] < view.segment / 2
-    return bool(view.segments) and view.now >= view.rest_until and (many or used > FULL * view.usable)
+    many_small = len(view.segments) > MANY_SEGMENTS and view.segments[0][1] < view.segment_limit / 2
+    return many_small or used > HIGH_WATER_SHARE * view.usable
 
 
-def uncovered(view):
+def oldest_not_covered(view: LogView) -> bool:
+    """Return whether the oldest segment has records that no durable snapshot covers."""
     return view.segments[0][0] >= view.covered
 
 
-# Read from the top: the first whose conditions all hold is done.
-RULES = (
-    ((lambda v: not v.well,), NOTHING),
-    ((over, uncovered), SNAPSHOT),
-    ((over,), DROP),
-    ((crowded, uncovered), SNAPSHOT),
-    ((crowded,), COMPACT),
-    ((lambda v: v.unsnapped > max(2 * v.segment, v.snapshot_size / 2),), SNAPSHOT),
-)
+def decide(view: LogView) -> LogAction:
+    """Return the next background action; only one runs at a time."""
+    if not view.healthy:
+        return LogAction.NOTHING
+    if oldest_expired(view):
+        return LogAction.SNAPSHOT if oldest_not_covered(view) else LogAction.DROP
+    if short_of_space(view):
+        return LogAction.SNAPSHOT if oldest_not_covered(view) else LogAction.COMPACT
+    if view.unsnapshotted > max(2 * view.segment_limit, view.snapshot_size / 2):
+        return LogAction.SNAPSHOT
+    return LogAction.NOTHING
 
 
-def decide(view):
-    for conditions, action in RULES:
-        if all(condition(view) for condition in conditions):
-            return action
-    return NOTHING
+class CapacityView(NamedTuple):
+    """The input of `retry_after`."""
 
-
-class Room(NamedTuple):
-    keys: int  # kept, and promised to those that were let in
-    most_keys: int
+    keys: int  # stored, and reserved for admitted requests
+    max_keys: int
     used: int  # bytes of log
-    promised: int  # bytes, were all that was let in to end with the longest result
-    usable: int
+    reserved: int  # bytes, if every admitted request ended with the longest result
+    usable: int  # bytes
     waiting: int  # bytes that wait for the disk
-    most_waiting: int
-    sure_in: float  # s until nothing is in doubt for lost records
-    well_in: float  # s until the disk is tried again; 0 while it takes writes
-    earliest_in: float  # s until the first key's window ends
-
-
-LATER = 1.0  # s to come back where nothing better is known
-
-
-def room_in(r):
-    """Seconds until one more key may find room; 0 where there is room now."""
-    if r.sure_in > 0:
-        return r.sure_in
-    if r.well_in > 0:
-        return r.well_in
-    if r.keys >= r.most_keys or r.used + r.promised > r.usable:
-        return max(LATER, r.earliest_in + UNREAD)
-    return LATER if r.waiting > r.most_waiting else 0.0
-
-
-# The disk's health. A descriptor whose write or sync failed is never used again: what it took can't be known.
-WELL, RESTING, OPENING = "well", "resting", "opening"
-FAILED, RETRY, OPENED = "failed", "retry", "opened"
-HEALTH = {
-    (WELL, FAILED): (RESTING, "abandon"),
-    (OPENING, FAILED): (RESTING, "abandon"),
-    (RESTING, RETRY): (OPENING, "open"),
-    (OPENING, OPENED): (WELL, "resume"),
+    max_waiting: int  # bytes
+    in_doubt_for: float  # seconds until no key is in doubt because of lost records
+    disk_retry_in: float  # seconds until the disk is tried again; 0 while it accepts writes
+    earliest_end_in: float  # seconds until the first key's window ends
+
+
+def retry_after(view: CapacityView) -> float:
+    """Return the seconds until one more key may be accepted; 0 where there is capacity now."""
+    if view.in_doubt_for > 0:
+        return view.in_doubt_for
+    if view.disk_retry_in > 0:
+        return view.disk_retry_in
+    if view.keys >= view.max_keys or view.used + view.reserved > view.usable:
+        return max(DEFAULT_RETRY_AFTER, view.earliest_end_in + LATE_READ_GRACE)
+    return DEFAULT_RETRY_AFTER if view.waiting > view.max_waiting else 0.0
+
+
+class DiskHealth(StrEnum):
+    """The health of the log's disk; the values appear in the answer of `status`.
+
+    A descriptor whose write or sync failed is never used again: what reached the disk can't be known.
+    """
+
+    HEALTHY = "well"
+    BACKING_OFF = "resting"
+    REOPENING = "opening"
+
+
+class DiskEvent(StrEnum):
+    """The inputs of the disk's health."""
+
+    FAILED = "failed"
+    RETRY = "retry"
+    REOPENED = "opened"
+
+
+class DiskEffect(StrEnum):
+    """What the log does when the disk's health changes."""
+
+    ABANDON = "abandon"
+    REOPEN = "open"
+    RESUME = "resume"
+
+
+# A missing pair changes nothing.
+DISK_TRANSITIONS: Final[dict[tuple[DiskHealth, DiskEvent], tuple[DiskHealth, DiskEffect]]] = {
+    (DiskHealth.HEALTHY, DiskEvent.FAILED): (DiskHealth.BACKING_OFF, DiskEffect.ABANDON),
+    (DiskHealth.REOPENING, DiskEvent.FAILED): (DiskHealth.BACKING_OFF, DiskEffect.ABANDON),
+    (DiskHealth.BACKING_OFF, DiskEvent.RETRY): (DiskHealth.REOPENING, DiskEffect.REOPEN),
+    (DiskHealth.REOPENING, DiskEvent.REOPENED): (DiskHealth.HEALTHY, DiskEffect.RESUME),
 }
--- a/valeturn/result_store/entry_states.py
+++ b/valeturn/result_store/entry_states.py
@@ -1,48 +1,90 @@
-"""The states of a kept key and what moves it: a table, without I/O.
+"""The states of an entry and the transitions between them: a table without I/O.
 
-An entry is what the store knows of one key within its window. A restart is an input like the others: it finds
-what the disk has, so an intent that was not durable is ABSENT after it and one that was is MAYBE.
+An entry is what the store knows of one idempotency key within its deduplication window. A restart is an input
+like the others: the state after it follows from what is on the disk, so an intent that was not durable leaves
+the key ABSENT, and one that was durable leaves it IN_DOUBT.
 """
 
 from __future__ import annotations
 
-# ABSENT: a newcomer may run. NOTED: its intent is on its way to the disk, nothing was sent. SENT: its intent
-# is durable and the executor may have it. KEPT: it ended with a result. FAILED: it ended, or was stopped,
-# without. MAYBE: a run from before a restart, of which only the intent is known.
-ABSENT, NOTED, SENT, KEPT, FAILED, MAYBE = range(6)
-STATES = ("absent", "noted", "sent", "kept", "failed", "maybe")
-# NOTE: the module starts it. SYNCED, UNSYNCED: the intent is durable, or can't be made so. DONE, ENDED: the
-# run is over, with a result or without. UNBEGUN: proved that it never ran. RESTART, EXPIRED: of the server;
-# of its window.
-NOTE, SYNCED, UNSYNCED, DONE, ENDED, UNBEGUN, RESTART, EXPIRED = range(8)
-
-# (state, input) -> (next state, effect). A missing pair changes nothing: it is told as a fault by `move`.
-TABLE = {
-    (ABSENT, NOTE): (NOTED, "write_intent"),
-    (NOTED, SYNCED): (SENT, "send"),
-    (NOTED, UNSYNCED): (ABSENT, "refuse"),
-    (NOTED, UNBEGUN): (ABSENT, "write_unsent"),
-    (NOTED, RESTART): (MAYBE, None),  # its write may have come through whole
-    (SENT, DONE): (KEPT, "write_result"),
-    (SENT, ENDED): (FAILED, "write_failed"),
-    (SENT, UNBEGUN): (ABSENT, "write_unsent"),
-    (SENT, RESTART): (MAYBE, None),
-    (MAYBE, DONE): (KEPT, "write_result"),  # the executor told after all
-    (MAYBE, ENDED): (FAILED, "write_failed"),
-    (MAYBE, UNBEGUN): (ABSENT, "write_unsent"),
-    (MAYBE, RESTART): (MAYBE, None),
-    (KEPT, RESTART): (KEPT, None),
+from enum import StrEnum
+from typing import Final
+
+# States. Plain integers, not an Enum: they are written into index rows and compared once per request.
+ABSENT: Final = 0  # Nothing is known: a request with this key may be executed.
+INTENT_PENDING: Final = 1  # The intent is being written; nothing was sent to the executor.
+EXECUTING: Final = 2  # The intent is durable, and the executor may have the request.
+STORED: Final = 3  # The execution ended with a result.
+FAILED: Final = 4  # The execution ended or was cancelled without a result.
+IN_DOUBT: Final = 5  # An execution from before a restart of which only the intent is known.
+ALL_STATES: Final = (ABSENT, INTENT_PENDING, EXECUTING, STORED, FAILED, IN_DOUBT)
+
+# Inputs. Plain integers for the same reason; dispatch/deduplication.py repeats three of them.
+START: Final = 0  # The admission controller starts the request.
+INTENT_DURABLE: Final = 1
+INTENT_LOST: Final = 2  # The intent could not be made durable.
+SUCCEEDED: Final = 3  # The execution ended with a result.
+ENDED_WITHOUT_RESULT: Final = 4
+NEVER_STARTED: Final = 5  # It is proved that the execution never began.
+RESTART: Final = 6  # The server was restarted.
+WINDOW_ENDED: Final = 7  # The deduplication window is over.
+
+
+class EntryEffect(StrEnum):
+    """What the store does on a transition."""
+
+    WRITE_INTENT = "write_intent"
+    SEND = "send"
+    REJECT = "reject"
+    WRITE_RESULT = "write_result"
+    WRITE_FAILED = "write_failed"
+    WRITE_UNSENT = "write_unsent"
+    DROP = "drop"
+
+
+class LookupOutcome(StrEnum):
+    """What the store answers about a request whose key is looked up."""
+
+    EXECUTE = "execute"  # Unknown key: the request may run.
+    COALESCE = "coalesce"  # Wait for the execution that is under way.
+    ANSWER = "answer"  # The stored result is the answer.
+    FAIL = "fail"  # The request may have run and has no result: report failure, never run it again.
+
+
+# (state, input) -> (next state, effect). A missing pair changes nothing; the store counts it as a fault.
+TRANSITIONS: Final[dict[tuple[int, int], tuple[int, EntryEffect | None]]] = {
+    (ABSENT, START): (INTENT_PENDING, EntryEffect.WRITE_INTENT),
+    (INTENT_PENDING, INTENT_DURABLE): (EXECUTING, EntryEffect.SEND),
+    (INTENT_PENDING, INTENT_LOST): (ABSENT, EntryEffect.REJECT),
+    (INTENT_PENDING, NEVER_STARTED): (ABSENT, EntryEffect.WRITE_UNSENT),
+    (INTENT_PENDING, RESTART): (IN_DOUBT, None),  # The write may have reached the disk whole.
+    (EXECUTING, SUCCEEDED): (STORED, EntryEffect.WRITE_RESULT),
+    (EXECUTING, ENDED_WITHOUT_RESULT): (FAILED, EntryEffect.WRITE_FAILED),
+    (EXECUTING, NEVER_STARTED): (ABSENT, EntryEffect.WRITE_UNSENT),
+    (EXECUTING, RESTART): (IN_DOUBT, None),
+    (IN_DOUBT, SUCCEEDED): (STORED, EntryEffect.WRITE_RESULT),  # The executor reported after all.
+    (IN_DOUBT, ENDED_WITHOUT_RESULT): (FAILED, EntryEffect.WRITE_FAILED),
+    (IN_DOUBT, NEVER_STARTED): (ABSENT, EntryEffect.WRITE_UNSENT),
+    (IN_DOUBT, RESTART): (IN_DOUBT, None),
+    (STORED, RESTART): (STORED, None),
     (FAILED, RESTART): (FAILED, None),
     (ABSENT, RESTART): (ABSENT, None),
-    (KEPT, EXPIRED): (ABSENT, "drop"),
-    (FAILED, EXPIRED): (ABSENT, "drop"),
-    (MAYBE, EXPIRED): (ABSENT, "drop"),
+    (STORED, WINDOW_ENDED): (ABSENT, EntryEffect.DROP),
+    (FAILED, WINDOW_ENDED): (ABSENT, EntryEffect.DROP),
+    (IN_DOUBT, WINDOW_ENDED): (ABSENT, EntryEffect.DROP),
 }
 
-# What a repeat of an entry in this state meets.
-MEETS = {ABSENT: "run", NOTED: "join", SENT: "join", KEPT: "answer", FAILED: "write_off", MAYBE: "write_off"}
+# What a duplicate of an entry in this state receives.
+LOOKUP_OUTCOMES: Final[dict[int, LookupOutcome]] = {
+    ABSENT: LookupOutcome.EXECUTE,
+    INTENT_PENDING: LookupOutcome.COALESCE,
+    EXECUTING: LookupOutcome.COALESCE,
+    STORED: LookupOutcome.ANSWER,
+    FAILED: LookupOutcome.FAIL,
+    IN_DOUBT: LookupOutcome.FAIL,
+}
 
 
-def move(state, given):
-    """(next state, effect), or None where the pair has no meaning."""
-    return TABLE.get((state, given))
+def transition(state: int, entry_input: int) -> tuple[int, EntryEffect | None] | None:
+    """Return the next state and the effect, or None where the input has no meaning in this state."""
+    return TRANSITIONS.get((state, entry_input))
--- a/valeturn/result_store/index.py
+++ b/valeturn/result_store/index.py
@@ -25,7 +25,7 @@
     offset: int  # of the record in its segment
     until: int  # store time, s
     size: int  # bytes of the record
-    state: int  # of entry: MAYBE (an intent), KEPT, FAILED
+    state: int  # of entry_states: IN_DOUBT (an intent), STORED, FAILED
 
 
 class Index:
--- a/valeturn/result_store/log.py
+++ b/valeturn/result_store/log.py
@@ -15,7 +15,7 @@
 from .opening import check_of, open_folder
 from .recovery import Segment, settled
 from .snapshots import Compaction, Snapshotting
-from .window_clock import Clock
+from .window_clock import WindowClock
 
 BATCH = 1 << 20  # bytes of records in one write: what waits longer comes with the next
 
@@ -40,10 +40,10 @@
         found = self.found = opened.found
         self.orphans = settled(found)
         found.longest = max(found.longest, longest)
-        self.clock, self.journal, self.index = Clock(found.stamp, moment), Journal(files), found.index
+        self.clock, self.journal, self.index = WindowClock(found.stamp, moment), Journal(files), found.index
         self.live = {}  # digest -> Live
         self.pending, self.pending_bytes, self.flying = [], 0, None  # flying: (entries, bytes) at the disk
-        self.health, self.retry_at, self.ends = compaction_policy.WELL, 0.0, list(found.ends)
+        self.health, self.retry_at, self.ends = compaction_policy.DiskHealth.HEALTHY, 0.0, list(found.ends)
         self.active, self.begun, self.sequence = None, False, found.sequence
         self.covered, self.snapshot_size = opened.covered, opened.snapshot_size
         self.position = opened.position or (0, 0)
@@ -73,7 +73,7 @@
 
     def flush(self):
         """Hands what waits to the disk, in one write, once the one before is through."""
-        if not self.pending or self.flying is not None or self.health != compaction_policy.WELL:
+        if not self.pending or self.flying is not None or self.health != compaction_policy.DiskHealth.HEALTHY:
             return
         if self.active.size >= self.bounds.segment:
             self._open_next()
@@ -84,7 +84,7 @@
         del self.pending[: len(taken)]
         self.pending_bytes -= size
         self.sequence += 1
-        head = records.encode(self.clock.stamp())
+        head = records.encode(self.clock.timestamp())
         payload = head + b"".join(one.data for one in taken)
         data = records.frame(self.active.number, self.sequence, payload)
         self.flying = taken, size, len(head)
@@ -102,18 +102,18 @@
             max(self.longest, self.found.longest),
         )
         self.sequence += 1
-        parts = [records.encode(head), records.encode(self.clock.stamp())]
+        parts = [records.encode(head), records.encode(self.clock.timestamp())]
         if self.found.unsure > self.clock.now():
             parts.append(records.encode(records.Unsure(self.found.unsure)))
         data = records.frame(number, self.sequence, b"".join(parts))
         self.begun = False
         self.active = self.found.segments[number] = Segment(number, len(records.MAGIC) + len(data))
-        if self.health != compaction_policy.WELL:
-            self.health = compaction_policy.OPENING
+        if self.health != compaction_policy.DiskHealth.HEALTHY:
+            self.health = compaction_policy.DiskHealth.REOPENING
         self.helper.ask(("begun", number), self.journal.begin, number, data)
 
     def _health(self, given):
-        found = compaction_policy.HEALTH.get((self.health, given))
+        found = compaction_policy.DISK_TRANSITIONS.get((self.health, given))
         if found is not None:
             self.health, effect = found
             getattr(self, "disk_" + effect)()
@@ -139,12 +139,12 @@
             self.found.segments.pop(what[1], None)
             self.found.last -= 1  # the number is used again: one that is missing would be damage
             self.sequence -= 1
-            self._health(compaction_policy.FAILED)
+            self._health(compaction_policy.DiskEvent.FAILED)
             if self.flying is not None:  # was asked for behind it: its own end comes, and fails
                 self.count("store.behind")
         else:
             self.ends, self.begun = [(what[1], got)], True
-            self._health(compaction_policy.OPENED)
+            self._health(compaction_policy.DiskEvent.REOPENED)
 
     def on_appended(self, what, got):
         taken, size, head = self.flying
@@ -152,7 +152,7 @@
         if isinstance(got, OSError):
             self.failed("append", got)
             self.sequence -= 1
-            self._health(compaction_policy.FAILED)
+            self._health(compaction_policy.DiskEvent.FAILED)
             self._given_back(taken)
             return
         offset = self.active.size + records.HEADER.size + head
@@ -209,7 +209,7 @@
         )
         at, offset = self.position
         unsnapped = sum(size for number, size, _ in segments if number >= at) + self.active.size - offset
-        return compaction_policy.View(
+        return compaction_policy.LogView(
             now,
             segments,
             (self.active.number, self.active.size),
@@ -218,20 +218,20 @@
             self.snapshot_size,
             self.bounds.segment,
             self.usable(),
-            self.health == compaction_policy.WELL and self.begun,
+            self.health == compaction_policy.DiskHealth.HEALTHY and self.begun,
             self.rest_until,
         )
 
     def _next_job(self, now):
         view = self.view(now)
         action = compaction_policy.decide(view)
-        if action == compaction_policy.SNAPSHOT:
+        if action == compaction_policy.LogAction.SNAPSHOT:
             if view.segments and view.segments[0][0] >= self.active.number:
                 return
             self.job = Snapshotting(self)
-        elif action == compaction_policy.DROP:
+        elif action == compaction_policy.LogAction.DROP:
             self.dropped(view.segments[0][0])
-        elif action == compaction_policy.COMPACT:
+        elif action == compaction_policy.LogAction.COMPACT:
             self.job = Compaction(self, view.segments[0][0])
 
     def dropped(self, number):
@@ -270,7 +270,7 @@
             self.flush()
             if self.flying is None and not self.pending:
                 break
-            if self.health != compaction_policy.WELL:
+            if self.health != compaction_policy.DiskHealth.HEALTHY:
                 break
             time.sleep(0.001)
         done = not self.pending and self.flying is None
@@ -297,17 +297,25 @@
             self.collect()
             if self.helper.busy:
                 time.sleep(0.001)
-            if self.health != compaction_policy.WELL:
+            if self.health != compaction_policy.DiskHealth.HEALTHY:
                 return
 
     def work(self, now):
         """One step of what is done in the background."""
-        if self.health == compaction_policy.RESTING and now >= self.retry_at and self.flying is None:
-            self._health(compaction_policy.RETRY)
+        if (
+            self.health == compaction_policy.DiskHealth.BACKING_OFF
+            and now >= self.retry_at
+            and self.flying is None
+        ):
+            self._health(compaction_policy.DiskEvent.RETRY)
         if self.job is not None:
             if not self.job.step():
                 self.job = None
-        elif (self.wants_snapshot or self.set_aside) and self.health == compaction_policy.WELL and self.begun:
+        elif (
+            (self.wants_snapshot or self.set_aside)
+            and self.health == compaction_policy.DiskHealth.HEALTHY
+            and self.begun
+        ):
             if not self.pending and self.flying is None:
                 self._next_aside()
         else:
--- a/valeturn/result_store/records.py
+++ b/valeturn/result_store/records.py
@@ -17,7 +17,7 @@
 import google_crc32c
 import msgpack
 
-from .window_clock import Moment, Stamp
+from .window_clock import ClockReading, StoreTimestamp
 
 MAJOR, MINOR = 1, 0
 
@@ -94,8 +94,8 @@
 
 
 def encode(record):
-    if isinstance(record, Stamp):
-        return _pack([STAMP, record.at, record.moment.wall, record.moment.boot])
+    if isinstance(record, StoreTimestamp):
+        return _pack([STAMP, record.store_time, record.reading.wall, record.reading.boot])
     return _pack([KINDS[type(record)], *record])
 
 
@@ -131,7 +131,7 @@
 
 def _record(kind, rest, boot_id):
     if kind == STAMP:
-        return Stamp(rest[0], Moment(rest[1], rest[2], boot_id))
+        return StoreTimestamp(rest[0], ClockReading(rest[1], rest[2], boot_id))
     of = _TYPES.get(kind)
     return of(*rest[: len(of._fields)]) if of is not None else Other(kind)
 
--- a/valeturn/result_store/recovery.py
+++ b/valeturn/result_store/recovery.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from . import records, window_clock
-from .entry_states import FAILED, KEPT, MAYBE
+from .entry_states import FAILED, IN_DOUBT, STORED
 from .index import Index
 
 WHOLE, TORN, DAMAGED = "whole", "torn", "damaged"
@@ -225,7 +225,7 @@
         apply(found, segment, frame.offset + at, size, kind, fields, boot)
 
 
-STATES = {records.INTENT: MAYBE, records.RESULT: KEPT, records.FAILED: FAILED}
+STATES = {records.INTENT: IN_DOUBT, records.RESULT: STORED, records.FAILED: FAILED}
 
 
 def apply(found, segment, offset, size, kind, fields, boot=""):
@@ -237,7 +237,7 @@
         found.index.put(digest, segment.number, offset, until, size, state)
         if until > segment.longest_until:
             segment.longest_until = until
-        if state == MAYBE:
+        if state == IN_DOUBT:
             found.unsettled[digest] = fields[2], fields[3]
         else:
             found.unsettled.pop(digest, None)
@@ -245,8 +245,10 @@
         found.index.remove(fields[0])
         found.unsettled.pop(fields[0], None)
     elif kind == records.STAMP:
-        if found.stamp is None or fields[0] >= found.stamp.at:
-            found.stamp = window_clock.Stamp(fields[0], window_clock.Moment(fields[1], fields[2], boot))
+        if found.stamp is None or fields[0] >= found.stamp.store_time:
+            found.stamp = window_clock.StoreTimestamp(
+                fields[0], window_clock.ClockReading(fields[1], fields[2], boot)
+            )
     elif kind == records.UNSURE:
         found.unsure = max(found.unsure, fields[0])
     elif kind != records.HEAD:
@@ -258,7 +260,7 @@
     calls = {}
     for digest, (call, workload) in list(found.unsettled.items()):
         row = found.index.get(digest)
-        if row is not None and row.state == MAYBE:
+        if row is not None and row.state == IN_DOUBT:
             calls[call] = digest, workload
         else:
             del found.unsettled[digest]
--- a/valeturn/result_store/snapshot.py
+++ b/valeturn/result_store/snapshot.py
@@ -19,7 +19,7 @@
 from . import records
 from .index import Index
 from .recovery import check_version
-from .window_clock import Moment, Stamp
+from .window_clock import ClockReading, StoreTimestamp
 
 KIND = b"VTSNAP"
 MAGIC = records.preamble(KIND, records.MAJOR, records.MINOR)
@@ -31,7 +31,7 @@
 class Snapshot(NamedTuple):
     position: tuple  # (segment, offset) of the first frame that it does not hold
     sequence: int  # of the last one that it does
-    stamp: Stamp | None
+    stamp: StoreTimestamp | None
     segments: list  # (number, size, longest until)
     unsettled: dict  # digest -> (call, workload)
     unsure: float
@@ -41,7 +41,7 @@
 
 
 def head(s):
-    stamp = None if s.stamp is None else [s.stamp.at, *s.stamp.moment]
+    stamp = None if s.stamp is None else [s.stamp.store_time, *s.stamp.reading]
     data = msgpack.packb(
         [
             list(s.position),
@@ -96,7 +96,7 @@
             parts += 1
     except (struct.error, ValueError, TypeError, msgpack.UnpackException) as error:
         return f"cut or damaged: {error}"
-    stamp = None if stamp is None else Stamp(stamp[0], Moment(*stamp[1:]))
+    stamp = None if stamp is None else StoreTimestamp(stamp[0], ClockReading(*stamp[1:]))
     return Snapshot(
         tuple(position),
         sequence,
--- a/valeturn/result_store/snapshots.py
+++ b/valeturn/result_store/snapshots.py
@@ -24,7 +24,7 @@
             snapshot.Snapshot(
                 self.position,
                 kept.sequence - (kept.flying is not None),
-                kept.clock.stamp(),
+                kept.clock.timestamp(),
                 segments,
                 found.unsettled,
                 found.unsure,
@@ -97,7 +97,8 @@
             return True
         if self.marks is None:
             if (
-                kept.health == compaction_policy.WELL and kept.waiting() <= kept.bounds.waiting // 2
+                kept.health == compaction_policy.DiskHealth.HEALTHY
+                and kept.waiting() <= kept.bounds.waiting // 2
             ):  # new work goes first
                 self._copy_some()
             return True
@@ -135,7 +136,7 @@
             return  # it stands further on, or is over
         if live is not None and live.queued:
             return  # a newer one is on its way, and is waited for like the copies
-        if row.until + compaction_policy.UNREAD > kept.clock.now():
+        if row.until + compaction_policy.LATE_READ_GRACE > kept.clock.now():
             kept.copy(row, record)
             self.copied += row.size
 
@@ -156,6 +157,6 @@
 
     def _end(self):
         kept = self.kept
-        if self.copied > compaction_policy.FUTILE * self.size:
-            kept.rest_until = kept.clock.now() + compaction_policy.REST
+        if self.copied > compaction_policy.FUTILE_COPY_SHARE * self.size:
+            kept.rest_until = kept.clock.now() + compaction_policy.FUTILE_PAUSE
         kept.dropped(self.number)
--- a/valeturn/result_store/store.py
+++ b/valeturn/result_store/store.py
@@ -11,7 +11,7 @@
 import blake3
 
 from . import compaction_policy, entry_states, records
-from .entry_states import ABSENT, KEPT, MAYBE, NOTED, SENT
+from .entry_states import ABSENT, EXECUTING, IN_DOUBT, INTENT_PENDING, STORED, LookupOutcome
 from .limits import INTENT, RECORD
 from .log import Log, Queued
 from .recovery import apply
@@ -61,28 +61,34 @@
         reached = self.clock.now() - waited
         live = self.live.get(digest)
         if live is not None and live.state != ABSENT:
-            return Meets(entry_states.MEETS[live.state] if live.until > reached else "run", digest, live)
+            return Meets(
+                entry_states.LOOKUP_OUTCOMES[live.state] if live.until > reached else LookupOutcome.EXECUTE,
+                digest,
+                live,
+            )
         row = self.index.get(digest)
         if row is None or row.until <= reached:
-            return Meets("run", digest)
-        return Meets(entry_states.MEETS[row.state], digest)
+            return Meets(LookupOutcome.EXECUTE, digest)
+        return Meets(entry_states.LOOKUP_OUTCOMES[row.state], digest)
 
     def room_in(self):
         """Seconds until one more key may be kept; 0 now."""
         now, b = self.clock.now(), self.bounds
         earliest = self.wheel.earliest()
-        return compaction_policy.room_in(
-            compaction_policy.Room(
+        return compaction_policy.retry_after(
+            compaction_policy.CapacityView(
                 keys=self.index.count + len(self.live) + len(self.promised),
-                most_keys=b.keys,
+                max_keys=b.keys,
                 used=self.used(),
-                promised=(len(self.live) + len(self.promised)) * PROMISED,
+                reserved=(len(self.live) + len(self.promised)) * PROMISED,
                 usable=self.usable(),
                 waiting=self.waiting(),
-                most_waiting=b.waiting,
-                sure_in=self.found.unsure - now,
-                well_in=0.0 if self.health == compaction_policy.WELL else max(0.01, self.retry_at - now),
-                earliest_in=0.0 if earliest is None else max(0.0, earliest - now),
+                max_waiting=b.waiting,
+                in_doubt_for=self.found.unsure - now,
+                disk_retry_in=0.0
+                if self.health == compaction_policy.DiskHealth.HEALTHY
+                else max(0.01, self.retry_at - now),
+                earliest_end_in=0.0 if earliest is None else max(0.0, earliest - now),
             )
         )
 
@@ -96,7 +102,7 @@
     # ---- the table's inputs
 
     def move(self, live, given):
-        found = entry_states.move(live.state, given)
+        found = entry_states.transition(live.state, given)
         if found is None:
             self.count("store.no_move")
             return
@@ -109,7 +115,7 @@
         self.release(number)
         until = math.ceil(self.clock.now() + lasting)
         live = self.live[digest] = Live(number, digest, until, call, workload)
-        self.move(live, entry_states.NOTE)
+        self.move(live, entry_states.START)
 
     def over(self, number, digest, given, body=None):
         """The run of a noted one is over: DONE with its result, ENDED without, or UNBEGUN. One whose window
@@ -117,20 +123,20 @@
         live = self.live.get(digest)
         if live is None or live.number != number:
             return
-        if given == entry_states.DONE and self.waiting() + len(body) > self.bounds.waiting:
+        if given == entry_states.SUCCEEDED and self.waiting() + len(body) > self.bounds.waiting:
             self.count("store.results_lost")  # the disk is behind: known as ended, without its result
-            given = entry_states.ENDED
-        live.body = body if given == entry_states.DONE else None
+            given = entry_states.ENDED_WITHOUT_RESULT
+        live.body = body if given == entry_states.SUCCEEDED else None
         self.move(live, given)
 
     def told(self, call, given, body=None):
         """The executor tells of a run from before the restart. False where none is known by that call."""
         known = self.orphans.pop(call, None)
         row = None if known is None else self.index.get(known[0])
-        if row is None or row.state != MAYBE or known[0] in self.live:
+        if row is None or row.state != IN_DOUBT or known[0] in self.live:
             return False
         live = self.live[known[0]] = Live(0, known[0], row.until, call, known[1])
-        live.state = MAYBE
+        live.state = IN_DOUBT
         self.count("store.settled")
         self.over(0, known[0], given, body)
         return True
@@ -155,7 +161,7 @@
     def do_send(self, live):
         self.news.append(("synced", live.number, None))
 
-    def do_refuse(self, live):
+    def do_reject(self, live):
         self.news.append(("unsynced", live.number, None))
 
     def fetch(self, number, meets):
@@ -192,9 +198,9 @@
             return
         live.queued -= 1
         if isinstance(record, records.Intent):
-            if live.state == NOTED and live.queued == 0:
-                self.move(live, entry_states.SYNCED)
-        if live.queued == 0 and live.state not in (NOTED, SENT):
+            if live.state == INTENT_PENDING and live.queued == 0:
+                self.move(live, entry_states.INTENT_DURABLE)
+        if live.queued == 0 and live.state not in (INTENT_PENDING, EXECUTING):
             self.forget(live)
 
     def forget(self, live):
@@ -208,8 +214,8 @@
             live = one.live
             if isinstance(one.record, records.Intent) and live is not None:
                 live.queued -= 1
-                if live.state == NOTED:
-                    self.move(live, entry_states.UNSYNCED)
+                if live.state == INTENT_PENDING:
+                    self.move(live, entry_states.INTENT_LOST)
                 if live.queued == 0 and live.state == ABSENT:
                     self.forget(live)
                     # It may be on the disk whole: said to be unsent once the disk takes writes again.
@@ -227,7 +233,7 @@
             return
         live = self.live.get(what[2])
         row = self.index.get(what[2])
-        if live is None and row is not None and row.state == KEPT and got is not None:
+        if live is None and row is not None and row.state == STORED and got is not None:
             # Compaction moved it between the question and the reading.
             self.helper.ask(what, self.journal.fetch, row.segment, row.offset, row.size)
             return
@@ -239,7 +245,7 @@
     def upkeep(self):
         """Ten times a second: forgets what is over, tries a disk that failed, goes on with the log's work."""
         now = self.clock.now()
-        for digest in self.wheel.due(now - compaction_policy.UNREAD, EXPIRED_A_SWEEP):
+        for digest in self.wheel.due(now - compaction_policy.LATE_READ_GRACE, EXPIRED_A_SWEEP):
             self._expire(digest, now)
         for _ in range(REBUILT_A_SWEEP):
             if self.rebuilt < len(self.index.shards):
@@ -252,9 +258,9 @@
         row = self.index.get(digest)
         if row is None or digest in self.live:
             return
-        if row.until + compaction_policy.UNREAD > now:  # its window grew
+        if row.until + compaction_policy.LATE_READ_GRACE > now:  # its window grew
             self.wheel.add(digest, row.until)
-        elif entry_states.move(row.state, entry_states.EXPIRED) is not None:
+        elif entry_states.transition(row.state, entry_states.WINDOW_ENDED) is not None:
             self.index.remove(digest)
             self.found.unsettled.pop(digest, None)
             self.count("store.expired")
--- a/valeturn/result_store/window_clock.py
+++ b/valeturn/result_store/window_clock.py
@@ -1,39 +1,40 @@
-"""The store's own time: wall time that no step of the wall clock moves.
+"""Store time: wall time that no step of the wall clock moves; deduplication windows are counted in it.
 
-Windows are counted in it. While the process lives, and over a restart on the same boot of the machine, it
-goes by the boot clock, which runs through suspends and is never set. Over a reboot only the wall clock can
-tell how long it took: a wall clock that has gone back counts as no time at all, so that entries stay too long
-rather than too short. One that was set ahead during a reboot can't be told from a long one; the operators'
-page says so.
+While the process lives, and over a restart within one boot of the machine, store time follows the boot clock,
+which runs through suspends and is never set. Over a reboot only the wall clock can tell how long it took: a
+wall clock that has gone back counts as no time at all, so that entries stay too long rather than too short. A
+wall clock that was set ahead during a reboot can't be told from a long reboot; the operators' page says so.
 """
 
 from __future__ import annotations
 
 import time
+from collections.abc import Callable
 from typing import NamedTuple
 
 
-class Moment(NamedTuple):
-    """What the machine's clocks say at once."""
+class ClockReading(NamedTuple):
+    """The machine's clocks, read at one time."""
 
-    wall: float  # Unix s
-    boot: float  # s since the machine came up
-    boot_id: str  # another after every reboot
+    wall: float  # Unix time, seconds
+    boot: float  # seconds since the machine was booted
+    boot_id: str  # differs after every reboot; empty where the system does not tell
 
 
-class Stamp(NamedTuple):
-    """The store's time at a moment, kept in the log."""
+class StoreTimestamp(NamedTuple):
+    """Store time and the clocks it belongs to, as recorded in the log."""
 
-    at: float
-    moment: Moment
+    store_time: float  # seconds
+    reading: ClockReading
 
 
-def read(boot_id):
-    return Moment(time.time(), time.clock_gettime(time.CLOCK_BOOTTIME), boot_id)
+def read_clocks(boot_id: str) -> ClockReading:
+    """Read the machine's clocks."""
+    return ClockReading(time.time(), time.clock_gettime(time.CLOCK_BOOTTIME), boot_id)
 
 
-def boot_id():
-    """ "" where the system does not tell: each start then counts as a reboot."""
+def read_boot_id() -> str:
+    """Return the boot's id, or "" where the system does not tell: each start then counts as a reboot."""
     try:
         with open("/proc/sys/kernel/random/boot_id", encoding="ascii") as file:
             return file.read().strip()
@@ -41,30 +42,34 @@
         return ""
 
 
-def same_boot(one, other):
+def same_boot(one: ClockReading, other: ClockReading) -> bool:
+    """Return whether both readings are known to be from one boot."""
     return bool(one.boot_id) and one.boot_id == other.boot_id
 
 
-def resume(stamp, moment):
-    """The store's time now, from the last stamp that was kept; the wall's where there is none."""
-    if stamp is None:
-        return moment.wall
-    if same_boot(stamp.moment, moment):
-        return stamp.at + max(0.0, moment.boot - stamp.moment.boot)
-    return stamp.at + max(0.0, moment.wall - stamp.moment.wall)
+def resume(timestamp: StoreTimestamp | None, reading: ClockReading) -> float:
+    """Return store time now in seconds, from the last stored timestamp; wall time where there is none."""
+    if timestamp is None:
+        return reading.wall
+    if same_boot(timestamp.reading, reading):
+        return timestamp.store_time + max(0.0, reading.boot - timestamp.reading.boot)
+    return timestamp.store_time + max(0.0, reading.wall - timestamp.reading.wall)
 
 
-class Clock:
-    """now() in store time, s; never goes back."""
+class WindowClock:
+    """Tells store time in seconds; it never goes back below the time of its start."""
 
-    def __init__(self, stamp, read):
+    def __init__(self, timestamp: StoreTimestamp | None, read: Callable[[], ClockReading]) -> None:
         self.read = read
-        moment = read()
-        self.start, self.boot = resume(stamp, moment), moment.boot
-
-    def now(self):
-        return self.start + max(0.0, self.read().boot - self.boot)
-
-    def stamp(self):
-        moment = self.read()
-        return Stamp(self.start + max(0.0, moment.boot - self.boot), moment)
+        reading = read()
+        self.start = resume(timestamp, reading)
+        self.start_boot = reading.boot
+
+    def now(self) -> float:
+        """Return store time in seconds."""
+        return self.start + max(0.0, self.read().boot - self.start_boot)
+
+    def timestamp(self) -> StoreTimestamp:
+        """Return store time together with the clocks' reading."""
+        reading = self.read()
+        return StoreTimestamp(self.start + max(0.0, reading.boot - self.start_boot), reading)
--- a/valeturn/server/components/result_store.py
+++ b/valeturn/server/components/result_store.py
@@ -19,7 +19,7 @@
     def __init__(self, server, built):
         super().__init__(server, built)
         files, names = server.seams.files or Files(built.folder), server.configuration.names
-        boot_id = window_clock.boot_id()
+        boot_id = window_clock.read_boot_id()
         derived = limits.derive(built.disk, built.memory, built.segment)
         longest = max([w.window for w in names.settings.workloads], default=0.0) + 2 * names.settings.tick
         try:
@@ -30,7 +30,7 @@
                 derived,
                 files,
                 Helper(),
-                lambda: window_clock.read(boot_id),
+                lambda: window_clock.read_clocks(boot_id),
                 longest,
                 server.counters.add,
                 server.log,
