--- a/tests/disk.py
+++ b/tests/disk.py
@@ -38,7 +38,7 @@
 
 
 class Files:
-    """result_store.directory.Files on a Disk. fail: name of an operation -> how many more of it fail, with
+    """A StoreDirectory on a Disk. fail: name of an operation -> how many more of it fail, with
     which error; a descriptor whose sync failed must never be used again."""
 
     def __init__(self, disk):
@@ -145,7 +145,7 @@
 
     def __init__(self, disk=1_000_000, memory=2_000_000, segment=65_536, longest=30.0):
         self.disk, self.wall, self.boot, self.boot_id = Disk(), 1_800_000_000.0, 1000.0, "first"
-        self.limits, self.longest = limits.derive(disk, memory, segment), longest
+        self.limits, self.longest = limits.derive_limits(disk, memory, segment), longest
         self.counts, self.logged, self.retry = {}, [], 1.0
         self.kept = self.files = None
 
--- a/tests/result_store/test_result_store.py
+++ b/tests/result_store/test_result_store.py
@@ -7,11 +7,11 @@
 
 from valeturn.result_store import compaction_policy, entry_states, records, recovery, snapshot
 from valeturn.result_store.entry_states import ENDED_WITHOUT_RESULT, IN_DOUBT, NEVER_STARTED, SUCCEEDED
+from valeturn.result_store.errors import StoreRefusedError
 from valeturn.result_store.index import Index
-from valeturn.result_store.opening import open_folder
-from valeturn.result_store.recovery import Refused
+from valeturn.result_store.opening import open_store
 from valeturn.result_store.snapshots import Compaction
-from valeturn.result_store.timing_wheel import Wheel
+from valeturn.result_store.timing_wheel import TimingWheel
 
 EIO, FULL = errno.EIO, errno.ENOSPC
 
@@ -332,14 +332,14 @@
         other.disk.data = {
             1: bytearray(data),
             2: bytearray(key_of(machine)),
-            3: bytearray(records.preamble(b"VTSNAP", 2, 0)),
+            3: bytearray(records.file_magic(b"VTSNAP", 2, 0)),
         }
         other.disk.now_names, other.disk.synced = (
             {name: 1, "key": 2, "snapshot": 3},
             {1: len(data), 2: 32, 3: 8},
         )
         if spoil == "version":
-            other.disk.data[1][:12] = records.preamble(b"VTKEPT", 9, 0)
+            other.disk.data[1][:12] = records.file_magic(b"VTKEPT", 9, 0)
         elif spoil == "key":
             del other.disk.now_names["key"]
         elif spoil == "other key":
@@ -347,7 +347,7 @@
         if spoil != "snapshot version":
             del other.disk.now_names["snapshot"]
         before = {key: bytes(value) for key, value in other.disk.data.items()}, dict(other.disk.now_names)
-        with pytest.raises(Refused):
+        with pytest.raises(StoreRefusedError):
             other.start()
         assert before == (
             {key: bytes(value) for key, value in other.disk.data.items()},
@@ -362,10 +362,10 @@
     sequence = machine.kept.sequence + 1
     news = [[77, "from the future"], [records.UNSENT, b"x" * 16, "more"]]
     news = b"".join(records._pack(one) for one in news)
-    data += records.frame(1, sequence, news)
+    data += records.encode_frame(1, sequence, news)
     machine.kill()
     machine.start()
-    assert machine.kept.found.passed_over == 1 and machine.ask("a")[0] == "answer"
+    assert machine.kept.found.unknown_records == 1 and machine.ask("a")[0] == "answer"
 
 
 # ---- damage
@@ -447,7 +447,9 @@
     machine.kept_run("after", 100, b"it")
     machine.kill()
     kept = machine.start()
-    assert kept.found.records < 60 and same_answers(machine) and machine.ask("after") == ("answer", b"it")
+    assert (
+        kept.found.record_count < 60 and same_answers(machine) and machine.ask("after") == ("answer", b"it")
+    )
 
 
 def test_a_snapshot_older_than_its_log_and_one_that_is_spoilt_are_read_over():
@@ -586,8 +588,8 @@
     for number in range(1, 6):
         machine.kept_run(f"k{number}", number)
     ((_, data),) = log_files(machine).items()
-    at, frames = len(records.MAGIC), []
-    while (frame := records.frame_at(data, at, 1)) is not None:
+    at, frames = len(records.LOG_MAGIC), []
+    while (frame := records.read_frame(data, at, 1)) is not None:
         frames.append((at, frame.end))
         at = frame.end
     del data[frames[4][0] : frames[4][1]]
@@ -601,10 +603,10 @@
     machine.tend(40)
     machine.kill()
     data = machine.disk.data[machine.disk.now_names["snapshot"]]
-    at = len(snapshot.MAGIC)
-    at += snapshot.LENGTHS.size + snapshot.LENGTHS.unpack_from(data, at)[0]
-    _, length, _ = snapshot.PART.unpack_from(data, at)
-    del data[at : at + snapshot.PART.size + length]
+    at = len(snapshot.SNAPSHOT_MAGIC)
+    at += snapshot.HEAD_HEADER.size + snapshot.HEAD_HEADER.unpack_from(data, at)[0]
+    _, length, _ = snapshot.SHARD_HEADER.unpack_from(data, at)
+    del data[at : at + snapshot.SHARD_HEADER.size + length]
     machine.start()
     assert "store_snapshot_unusable" in events(machine) and same_answers(machine)
 
@@ -744,21 +746,21 @@
         probe = chance.choice(keys)
         assert (index.get(probe) or (None,))[1:] == plain.get(probe, ())
     assert index.count == len(plain) == sum(index.counts)
-    rows = {row.digest: tuple(row[1:]) for n in range(len(index.shards)) for row in index.rows(n)}
+    rows = {row.digest: tuple(row[1:]) for n in range(len(index.shards)) for row in index.shard_rows(n)}
     assert rows == plain
     copy = Index()
     for number in range(len(index.shards)):
-        if (data := index.dump(number)) is not None:
-            copy.load(number, data)
+        if (data := index.dump_shard(number)) is not None:
+            copy.load_shard(number, data)
     assert copy.count == len(plain) and all(tuple(copy.get(key)[1:]) == row for key, row in plain.items())
     with pytest.raises(ValueError):
-        copy.load(0, bytes(100))
+        copy.load_shard(0, bytes(100))
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_the_wheel_and_a_sorted_list_agree(seed):
     chance, now = seeded("wheel", seed), 1_800_000_000
-    wheel, plain = Wheel(now), []
+    wheel, plain = TimingWheel(now), []
     for step in range(800):
         for _ in range(chance.randrange(4)):
             second = now + chance.choice((1, 5, 511, 512, 600, 5000, 90_000)) + chance.randrange(3)
@@ -769,7 +771,7 @@
         if plain:
             assert wheel.earliest() <= min(plain)[0]
         now += chance.choice((0, 1, 1, 2, 40, 700))
-        due = wheel.due(now, 3)
+        due = wheel.pop_due(now, 3)
         over = sorted(second for second, _ in plain if second <= now)
         assert len(due) == min(3, len(over))
         seconds = []
@@ -797,7 +799,7 @@
                 )
     try:
         machine.start()
-    except Refused:
+    except StoreRefusedError:
         return
     for number in range(1, 21):
         how, body = machine.ask(f"k{number}")
@@ -807,13 +809,13 @@
 
 def test_damage_is_found_by_a_scan_and_named_by_verify(tmp_path):
     from valeturn.result_store import commands, window_clock
-    from valeturn.result_store.directory import Files
+    from valeturn.result_store.directory import StoreDirectory
     from valeturn.result_store.store import Kept
     from valeturn.transport.worker_thread import Inline
 
-    machine, files = Machine(), Files(str(tmp_path))
+    machine, files = Machine(), StoreDirectory(str(tmp_path))
     machine.limits = machine.limits._replace(segment=2000)
-    assert files.prepare() and not Files(str(tmp_path)).prepare()
+    assert files.prepare() and not StoreDirectory(str(tmp_path)).prepare()
     kept = machine.kept = Kept(
         machine,
         machine.limits,
@@ -830,8 +832,8 @@
     assert kept.close(1.0)
     assert commands.main("verify", str(tmp_path)) == 0 and commands.main("inspect", str(tmp_path)) == 0
     assert commands.main("compact", str(tmp_path)) == 0 and commands.main("verify", str(tmp_path)) == 0
-    opened = open_folder(Files(str(tmp_path)), window_clock.read_clocks("b"))
-    assert opened.found.index.count == 29
+    opened = open_store(StoreDirectory(str(tmp_path)), window_clock.read_clocks("b"))
+    assert opened.recovered.index.count == 29
     last = max(tmp_path.glob("*.log"))
     data = bytearray(last.read_bytes())
     data[data.index(b"body 7")] ^= 1
@@ -841,8 +843,10 @@
 
 
 def test_a_frame_of_another_segment_or_a_wrong_length_is_none():
-    data = records.frame(3, 8, b"payload")
-    assert records.frame_at(data, 0, 3).payload == b"payload" and records.frame_at(data, 0, 4) is None
-    assert records.frame_at(data[:-1], 0, 3) is None and records.header_at(b"\xff" * 16, 0, 3) is None
-    got = recovery.scan(data + b"\1" * 40 + records.frame(3, 10, b"more"), 3, 0, None, True)
-    assert [frame.sequence for frame in got.frames] == [8, 10] and got.verdict == recovery.DAMAGED
+    data = records.encode_frame(3, 8, b"payload")
+    assert records.read_frame(data, 0, 3).payload == b"payload" and records.read_frame(data, 0, 4) is None
+    assert (
+        records.read_frame(data[:-1], 0, 3) is None and records.read_frame_header(b"\xff" * 16, 0, 3) is None
+    )
+    got = recovery.scan(data + b"\1" * 40 + records.encode_frame(3, 10, b"more"), 3, 0, None, True)
+    assert [frame.sequence for frame in got.frames] == [8, 10] and got.verdict == recovery.ScanVerdict.DAMAGED
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -28,10 +28,10 @@
 from valeturn.maintenance.options import TurnsOptions
 from valeturn.result_store import commands as store_commands
 from valeturn.result_store import entry_states, records, snapshot
-from valeturn.result_store.directory import Files
+from valeturn.result_store.directory import StoreDirectory as Files
 from valeturn.result_store.index import Index
-from valeturn.result_store.limits import StoreBounds
-from valeturn.result_store.opening import open_folder
+from valeturn.result_store.limits import StoreLimits
+from valeturn.result_store.opening import open_store
 from valeturn.result_store.store import Kept as KeptResults
 from valeturn.result_store.window_clock import ClockReading as Moment
 from valeturn.result_store.window_clock import StoreTimestamp as Stamp
@@ -478,7 +478,7 @@
         self.logged: list[Any] = []
         self.files = Files(str(folder))
         assert self.files.prepare()
-        limits = StoreBounds(1_000_000, 1500, 1024, 65536)
+        limits = StoreLimits(1_000_000, 1500, 1024, 65536)
         self.kept = KeptResults(self, limits, self.files, Inline(), self.moment, 3600.0, ignore, self.log)
         self.kept.collect()
 
@@ -558,18 +558,18 @@
 
 def opened_of(folder: pathlib.Path) -> dict[str, Any]:
     """What the code finds in a folder, without changing it."""
-    opened = open_folder(Files(str(folder)), READ, False)
-    found = opened.found
-    rows = [plain(row) for number in range(len(found.index.shards)) for row in found.index.rows(number)]
+    opened = open_store(Files(str(folder)), READ, False)
+    found = opened.recovered
+    rows = [plain(row) for number in range(len(found.index.shards)) for row in found.index.shard_rows(number)]
     return {
         "key": plain(opened.key),
         "rows": sorted(rows, key=lambda row: row[0]["hex"]),
         "segments": [[one.number, one.size, one.longest_until] for one in found.segments.values()],
         "sequence": found.sequence,
-        "unsettled": sorted(plain(found.unsettled), key=lambda row: row[0]["hex"]),
-        "stamp": plain(found.stamp),
-        "unsure": found.unsure,
-        "longest": found.longest,
+        "unsettled": sorted(plain(found.unfinished), key=lambda row: row[0]["hex"]),
+        "stamp": plain(found.timestamp),
+        "unsure": found.in_doubt_until,
+        "longest": found.longest_window,
         "notes": [[event, plain(fields)] for event, fields in found.notes],
         "snapshot": [opened.covered, opened.snapshot_size, plain(opened.position)],
     }
@@ -625,12 +625,12 @@
 
 RECORDS = golden("store/records.json")
 RECORD_TYPES = {
-    "head": records.Head,
-    "intent": records.Intent,
-    "result": records.Result,
-    "failed": records.Failed,
-    "unsent": records.Unsent,
-    "unsure": records.Unsure,
+    "head": records.SegmentHead,
+    "intent": records.IntentRecord,
+    "result": records.ResultRecord,
+    "failed": records.FailedRecord,
+    "unsent": records.UnsentRecord,
+    "unsure": records.InDoubtRecord,
 }
 
 
@@ -645,8 +645,8 @@
 def test_record_of_earlier_version_is_read_and_written_the_same(case: dict[str, Any]) -> None:
     data = bytes.fromhex(case["bytes"])
     record = record_of(case["name"], case["fields"])
-    assert records.encode(record) == data
-    assert records.decode(data, "first boot") == [(0, len(data), record)]
+    assert records.encode_record(record) == data
+    assert records.decode_records(data, "first boot") == [(0, len(data), record)]
     assert plain(record) == case["fields"]
 
 
@@ -658,13 +658,13 @@
     (case,) = [case for case in RECORDS["records"] if case["name"] == "result"]
     data = bytes.fromhex(case["bytes"])
     digest, until, body, _ = unplain(case["fields"])
-    assert records.one(data) == records.result(digest, until, body)
-    assert records.one(data.replace(body, bytes(len(body)))) is None
+    assert records.decode_single(data) == records.make_result(digest, until, body)
+    assert records.decode_single(data.replace(body, bytes(len(body)))) is None
 
 
 def test_record_of_a_newer_kind_is_passed_over() -> None:
     data = bytes.fromhex(RECORDS["newer"])
-    ((_, _, record),) = records.decode(data)
+    ((_, _, record),) = records.decode_records(data)
     assert plain(record) == [99]
 
 
@@ -672,37 +672,37 @@
     case = RECORDS["frame"]
     data = bytes.fromhex(case["bytes"])
     payload = bytes.fromhex(case["payload"])
-    assert records.frame(case["segment"], case["sequence"], payload) == data
-    assert plain(records.frame_at(data, 0, case["segment"])) == [
+    assert records.encode_frame(case["segment"], case["sequence"], payload) == data
+    assert plain(records.read_frame(data, 0, case["segment"])) == [
         case["offset"],
         case["sequence"],
         {"hex": case["payload"]},
         len(data),
     ]
-    assert records.frame_at(data, 0, case["segment"] + 1) is None
+    assert records.read_frame(data, 0, case["segment"] + 1) is None
 
 
 def test_files_of_the_store_begin_as_in_earlier_version() -> None:
-    assert [records.MAGIC.hex(), snapshot.MAGIC.hex()] == RECORDS["magics"]
+    assert [records.LOG_MAGIC.hex(), snapshot.SNAPSHOT_MAGIC.hex()] == RECORDS["magics"]
 
 
 def test_snapshot_of_earlier_version_is_read_and_written_the_same() -> None:
     case = RECORDS["snapshot"]
     data = bytes.fromhex(case["bytes"])
-    found = snapshot.read(data)
+    found = snapshot.decode_snapshot(data)
     *fields, index = found
     assert plain(fields) == case["fields"]
-    rows = [row for number in range(len(index.shards)) for row in index.rows(number)]
+    rows = [row for number in range(len(index.shards)) for row in index.shard_rows(number)]
     assert plain(rows) == case["rows"]
     filled = Index()
     for row in case["rows"]:
         filled.put(*unplain(row))
     parts = [
-        snapshot.part(number, filled.dump(number))
+        snapshot.encode_shard(number, filled.dump_shard(number))
         for number in range(len(filled.shards))
-        if filled.dump(number) is not None
+        if filled.dump_shard(number) is not None
     ]
-    written = snapshot.head(found) + b"".join(parts) + snapshot.end(len(parts))
+    written = snapshot.encode_head(found) + b"".join(parts) + snapshot.encode_end(len(parts))
     assert written == data
 
 
--- a/valeturn/lab/storebench.py
+++ b/valeturn/lab/storebench.py
@@ -21,11 +21,11 @@
 from hdrh.histogram import HdrHistogram
 
 from ..result_store import entry_states, limits, window_clock
-from ..result_store.directory import Files
+from ..result_store.directory import StoreDirectory
 from ..result_store.index import Index
 from ..result_store.snapshots import Snapshotting
 from ..result_store.store import Kept
-from ..result_store.timing_wheel import Wheel
+from ..result_store.timing_wheel import TimingWheel
 from ..transport.worker_thread import Helper
 
 AT_ONCE = 100  # submissions under way
@@ -42,10 +42,10 @@
 
 
 def open_kept(folder, keys, helper=None):
-    files, boot = Files(str(folder)), window_clock.read_boot_id()
+    files, boot = StoreDirectory(str(folder)), window_clock.read_boot_id()
     if not files.prepare():
         raise SystemExit(f"valeturn: {folder}: another process has it")
-    derived = limits.derive(2 * keys * 600 + 100_000_000, max(8_000_000, 150 * keys), 4_000_000)
+    derived = limits.derive_limits(2 * keys * 600 + 100_000_000, max(8_000_000, 150 * keys), 4_000_000)
     return Kept(
         Plain,
         derived,
@@ -181,18 +181,18 @@
     get = (time.perf_counter() - began) / found
     print(
         f"index ours: put_us={1e6 * took / keys:.2f} longest_ms={1e3 * most:.2f} "
-        f"bytes_a_key={index.memory() / keys:.0f} get_us={1e6 * get:.2f}",
+        f"bytes_a_key={index.memory_bytes() / keys:.0f} get_us={1e6 * get:.2f}",
         file=out,
     )
     del rows, index
-    for name, make in (("heap", Heap), ("wheel", Wheel)):
+    for name, make in (("heap", Heap), ("wheel", TimingWheel)):
         ends, began = make(0), time.perf_counter()
         for number, digest in enumerate(digests):
             ends.add(digest, 600 + number * 7919 % 3600)
         added = time.perf_counter() - began
         began, gone = time.perf_counter(), 0
         for now in range(600, 4300):
-            gone += len(ends.due(now, 1 << 30))
+            gone += len(ends.pop_due(now, 1 << 30))
         took = time.perf_counter() - began
         print(
             f"expiry {name}: add_us={1e6 * added / keys:.2f} due_us={1e6 * took / gone:.2f} "
@@ -212,14 +212,14 @@
     def add(self, digest, second):
         heapq.heappush(self.heap, (second, digest))
 
-    def due(self, now, most):
+    def pop_due(self, now, most):
         out = []
         while self.heap and self.heap[0][0] <= now and len(out) < most:
             out.append(heapq.heappop(self.heap)[1])
         return out
 
 
-Wheel.BYTES = 24
+TimingWheel.BYTES = 24
 
 
 def main(keys, folder, out):
@@ -274,7 +274,7 @@
     took, memory = child(f"{open_it}\n{check}")
     print(
         f"start from a snapshot: seconds={took:.3f} bytes_a_key={memory / keys:.0f} "
-        f"index_bytes_a_key={kept.index.memory() / keys:.0f}",
+        f"index_bytes_a_key={kept.index.memory_bytes() / keys:.0f}",
         file=out,
         flush=True,
     )
--- a/valeturn/lab/victim.py
+++ b/valeturn/lab/victim.py
@@ -12,12 +12,12 @@
 import signal
 import sys
 
-from ..result_store.directory import Files
+from ..result_store.directory import StoreDirectory
 from ..server.commands import serve
 from ..server.test_overrides import Seams
 
 
-class Deadly(Files):
+class Deadly(StoreDirectory):
     def __init__(self, folder, point):
         super().__init__(folder)
         what, count, *share = point.split(":")
@@ -48,7 +48,7 @@
 
 
 def _deadly(name):
-    plain = getattr(Files, name)
+    plain = getattr(StoreDirectory, name)
 
     def call(self, *args):
         if self.meet(name):
--- a/valeturn/result_store/directory.py
+++ b/valeturn/result_store/directory.py
@@ -1,101 +1,172 @@
-"""The folder on the disk: the only place of the store that calls the system. All errors are OSErrors."""
+"""The store's directory on disk: the only place of the store that makes system calls."""
 
 from __future__ import annotations
 
+import contextlib
 import fcntl
 import os
 import re
+from typing import Final, Protocol
 
-SEGMENT, DAMAGED = re.compile(r"kept-(\d{8})\.log"), re.compile(r"kept-(\d{8})\.damaged")
-SNAPSHOT, KEY, LOCK = "snapshot", "key", "lock"
+# File names are part of the format on disk.
+SEGMENT_PATTERN: Final = re.compile(r"kept-(\d{8})\.log")
+DAMAGED_PATTERN: Final = re.compile(r"kept-(\d{8})\.damaged")
+SNAPSHOT_FILE: Final = "snapshot"
+KEY_FILE: Final = "key"
+LOCK_FILE: Final = "lock"
 
 
-def name(number):
+def segment_file(number: int) -> str:
+    """Return the file name of a segment."""
     return f"kept-{number:08d}.log"
 
 
-def damaged(number):
-    """The name of a segment that was set aside."""
+def damaged_file(number: int) -> str:
+    """Return the file name of a damaged segment that was set aside."""
     return f"kept-{number:08d}.damaged"
 
 
-class Files:
-    """The real one. Tests put one in its place that fails where they want it to."""
+class StoreFiles(Protocol):
+    """What the store needs of a directory; tests inject one that fails. All methods may raise OSError.
 
-    def __init__(self, folder):
-        self.folder, self.locked, self.open = folder, None, {}
+    File arguments are names within the directory. A file that is written stays open from `create` to `close`.
+    """
 
-    def path(self, file):
+    def prepare(self) -> bool:
+        """Create and lock the directory; return False where another process has it."""
+
+    def release(self) -> None:
+        """Close all files and unlock the directory."""
+
+    def names(self) -> list[str]:
+        """Return the sorted names of all files."""
+
+    def size(self, file: str) -> int:
+        """Return a file's size in bytes."""
+
+    def read(self, file: str, limit: int | None = None) -> bytes:
+        """Read a file, or its first `limit` bytes."""
+
+    def read_at(self, file: str, offset: int, size: int) -> bytes:
+        """Read up to `size` bytes at an offset."""
+
+    def create(self, file: str) -> None:
+        """Create a file for writing; one of this name must not exist."""
+
+    def write(self, file: str, data: bytes) -> None:
+        """Append bytes to a file that is open."""
+
+    def sync(self, file: str) -> None:
+        """Make the bytes written to an open file durable."""
+
+    def close(self, file: str) -> None:
+        """Close a file; nothing happens where it is not open."""
+
+    def rename(self, file: str, new: str) -> None:
+        """Rename a file, replacing one of the new name."""
+
+    def remove(self, file: str) -> None:
+        """Remove a file; nothing happens where there is none."""
+
+    def sync_folder(self) -> None:
+        """Make the directory's entries durable."""
+
+
+class StoreDirectory:
+    """The files of one store in a directory of the system; see `StoreFiles`."""
+
+    def __init__(self, folder: str) -> None:
+        self.folder = folder
+        self.lock_descriptor: int | None = None
+        self.open: dict[str, int] = {}  # name -> descriptor of a file that is being written
+
+    def path(self, file: str) -> str:
+        """Return the path of a file."""
         return os.path.join(self.folder, file)
 
-    def prepare(self):
-        """Makes the folder where it is missing, and takes its lock. False where another process has it."""
+    def prepare(self) -> bool:
+        """Create the directory where it is missing and lock it; return False where another process has it."""
         os.makedirs(self.folder, mode=0o700, exist_ok=True)
         try:
-            self.locked = os.open(self.path(LOCK), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
-        except OSError:  # a disk that can't be written: what it holds is read all the same
-            self.locked = os.open(self.path(LOCK), os.O_RDONLY | os.O_CLOEXEC)
+            descriptor = os.open(self.path(LOCK_FILE), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
+        except OSError:  # A disk that can't be written: what it holds is read all the same.
+            descriptor = os.open(self.path(LOCK_FILE), os.O_RDONLY | os.O_CLOEXEC)
+        self.lock_descriptor = descriptor
         try:
-            fcntl.flock(self.locked, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            os.close(self.locked)
-            self.locked = None
+            os.close(descriptor)
+            self.lock_descriptor = None
             return False
         return True
 
-    def release(self):
-        for descriptor in [*self.open.values(), self.locked]:
+    def release(self) -> None:
+        """Close all files and unlock the directory."""
+        for descriptor in [*self.open.values(), self.lock_descriptor]:
             if descriptor is not None:
                 os.close(descriptor)
-        self.open, self.locked = {}, None
+        self.open = {}
+        self.lock_descriptor = None
 
-    def names(self):
+    def names(self) -> list[str]:
+        """Return the sorted names of all files."""
         return sorted(os.listdir(self.folder))
 
-    def size(self, file):
+    def size(self, file: str) -> int:
+        """Return a file's size in bytes."""
         return os.stat(self.path(file)).st_size
 
-    def read(self, file, most=None):
+    def read(self, file: str, limit: int | None = None) -> bytes:
+        """Read a file, or its first `limit` bytes."""
         with open(self.path(file), "rb") as source:
-            return source.read() if most is None else source.read(most)
+            return source.read() if limit is None else source.read(limit)
 
-    def read_at(self, file, offset, size):
+    def read_at(self, file: str, offset: int, size: int) -> bytes:
+        """Read up to `size` bytes at an offset."""
         descriptor = os.open(self.path(file), os.O_RDONLY | os.O_CLOEXEC)
         try:
             return os.pread(descriptor, size, offset)
         finally:
             os.close(descriptor)
 
-    def create(self, file, mode=0o600):
-        self.open[file] = os.open(self.path(file), os.O_CREAT | os.O_EXCL | os.O_WRONLY | os.O_CLOEXEC, mode)
+    def create(self, file: str, mode: int = 0o600) -> None:
+        """Create a file for writing; one of this name must not exist."""
+        flags = os.O_CREAT | os.O_EXCL | os.O_WRONLY | os.O_CLOEXEC
+        self.open[file] = os.open(self.path(file), flags, mode)
 
-    def write(self, file, data):
-        if file not in self.open:
-            raise OSError(0, f"{file} is not open")
-        view = memoryview(data)
-        while view:
-            view = view[os.write(self.open[file], view) :]
+    def write(self, file: str, data: bytes) -> None:
+        """Append bytes to a file that is open."""
+        descriptor = self._descriptor(file)
+        rest = memoryview(data)
+        while rest:
+            rest = rest[os.write(descriptor, rest) :]
 
-    def sync(self, file):
+    def sync(self, file: str) -> None:
+        """Make the bytes written to an open file durable."""
+        os.fdatasync(self._descriptor(file))
+
+    def _descriptor(self, file: str) -> int:
         if file not in self.open:
             raise OSError(0, f"{file} is not open")
-        os.fdatasync(self.open[file])
+        return self.open[file]
 
-    def close(self, file):
+    def close(self, file: str) -> None:
+        """Close a file; nothing happens where it is not open."""
         descriptor = self.open.pop(file, None)
         if descriptor is not None:
             os.close(descriptor)
 
-    def rename(self, file, new):
+    def rename(self, file: str, new: str) -> None:
+        """Rename a file, replacing one of the new name."""
         os.rename(self.path(file), self.path(new))
 
-    def remove(self, file):
-        try:
+    def remove(self, file: str) -> None:
+        """Remove a file; nothing happens where there is none."""
+        with contextlib.suppress(FileNotFoundError):
             os.unlink(self.path(file))
-        except FileNotFoundError:
-            pass
 
-    def sync_folder(self):
+    def sync_folder(self) -> None:
+        """Make the directory's entries durable: files created, renamed and removed."""
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
--- a/valeturn/result_store/log.py
+++ b/valeturn/result_store/log.py
@@ -8,12 +8,11 @@
 
 import time
 
-from . import compaction_policy, records
-from . import directory as names
-from .disk_jobs import Journal
-from .limits import usable
-from .opening import check_of, open_folder
-from .recovery import Segment, settled
+from . import compaction_policy, directory, records
+from .disk_jobs import LogWriter
+from .limits import usable_log_bytes
+from .opening import key_check, open_store
+from .recovery import Segment, unfinished_executions
 from .snapshots import Compaction, Snapshotting
 from .window_clock import WindowClock
 
@@ -26,31 +25,39 @@
     __slots__ = ("data", "live", "record")
 
     def __init__(self, record, live):
-        self.record, self.live, self.data = record, live, records.encode(record)
+        self.record, self.live, self.data = record, live, records.encode_record(record)
 
 
 class Log:
     def __init__(self, options, bounds, files, helper, moment, longest, count, log):
         """Opens the folder, which must be prepared. moment(): the clocks. longest: s of the longest window of
-        the settings. Raises recovery.Refused or OSError."""
+        the settings. Raises recovery.StoreRefusedError or OSError."""
         self.options, self.bounds, self.files, self.helper = options, bounds, files, helper
         self.count, self.log, self.longest = count, log, longest
-        opened = open_folder(files, moment())
+        opened = open_store(files, moment())
         self.opened, self.key = opened, opened.key
-        found = self.found = opened.found
-        self.orphans = settled(found)
-        found.longest = max(found.longest, longest)
-        self.clock, self.journal, self.index = WindowClock(found.stamp, moment), Journal(files), found.index
+        found = self.found = opened.recovered
+        self.orphans = unfinished_executions(found)
+        found.longest_window = max(found.longest_window, longest)
+        self.clock, self.journal, self.index = (
+            WindowClock(found.timestamp, moment),
+            LogWriter(files),
+            found.index,
+        )
         self.live = {}  # digest -> Live
         self.pending, self.pending_bytes, self.flying = [], 0, None  # flying: (entries, bytes) at the disk
-        self.health, self.retry_at, self.ends = compaction_policy.DiskHealth.HEALTHY, 0.0, list(found.ends)
+        self.health, self.retry_at, self.ends = (
+            compaction_policy.DiskHealth.HEALTHY,
+            0.0,
+            list(found.segment_ends),
+        )
         self.active, self.begun, self.sequence = None, False, found.sequence
         self.covered, self.snapshot_size = opened.covered, opened.snapshot_size
         self.position = opened.position or (0, 0)
         self.job, self.rest_until = None, 0.0  # the snapshot or compaction under way
         self.set_aside = sorted({n for n, _ in found.damaged} & set(found.segments))
         self.aside = list(opened.set_aside)
-        self.wants_snapshot = bool(found.damaged or opened.snapshot_bad)
+        self.wants_snapshot = bool(found.damaged or opened.snapshot_fault)
         for event, fields in found.notes:
             self.log("store_" + event, fields)
         self.rescue()
@@ -84,33 +91,33 @@
         del self.pending[: len(taken)]
         self.pending_bytes -= size
         self.sequence += 1
-        head = records.encode(self.clock.timestamp())
+        head = records.encode_record(self.clock.timestamp())
         payload = head + b"".join(one.data for one in taken)
-        data = records.frame(self.active.number, self.sequence, payload)
+        data = records.encode_frame(self.active.number, self.sequence, payload)
         self.flying = taken, size, len(head)
         self.helper.ask(("appended",), self.journal.append, data)
 
     def _open_next(self):
         """Asks for the next segment; what was written before stands in its head."""
-        self.found.last += 1
-        number = self.found.last
-        head = records.Head(
+        self.found.last_segment += 1
+        number = self.found.last_segment
+        head = records.SegmentHead(
             number,
             tuple(self.ends),
             self.clock.read().boot_id,
-            check_of(self.key),
-            max(self.longest, self.found.longest),
+            key_check(self.key),
+            max(self.longest, self.found.longest_window),
         )
         self.sequence += 1
-        parts = [records.encode(head), records.encode(self.clock.timestamp())]
-        if self.found.unsure > self.clock.now():
-            parts.append(records.encode(records.Unsure(self.found.unsure)))
-        data = records.frame(number, self.sequence, b"".join(parts))
+        parts = [records.encode_record(head), records.encode_record(self.clock.timestamp())]
+        if self.found.in_doubt_until > self.clock.now():
+            parts.append(records.encode_record(records.InDoubtRecord(self.found.in_doubt_until)))
+        data = records.encode_frame(number, self.sequence, b"".join(parts))
         self.begun = False
-        self.active = self.found.segments[number] = Segment(number, len(records.MAGIC) + len(data))
+        self.active = self.found.segments[number] = Segment(number, len(records.LOG_MAGIC) + len(data))
         if self.health != compaction_policy.DiskHealth.HEALTHY:
             self.health = compaction_policy.DiskHealth.REOPENING
-        self.helper.ask(("begun", number), self.journal.begin, number, data)
+        self.helper.ask(("begun", number), self.journal.begin_segment, number, data)
 
     def _health(self, given):
         found = compaction_policy.DISK_TRANSITIONS.get((self.health, given))
@@ -137,7 +144,7 @@
         if isinstance(got, OSError):
             self.failed("begin", got)
             self.found.segments.pop(what[1], None)
-            self.found.last -= 1  # the number is used again: one that is missing would be damage
+            self.found.last_segment -= 1  # the number is used again: one that is missing would be damage
             self.sequence -= 1
             self._health(compaction_policy.DiskEvent.FAILED)
             if self.flying is not None:  # was asked for behind it: its own end comes, and fails
@@ -155,7 +162,7 @@
             self._health(compaction_policy.DiskEvent.FAILED)
             self._given_back(taken)
             return
-        offset = self.active.size + records.HEADER.size + head
+        offset = self.active.size + records.FRAME_HEADER.size + head
         for one in taken:
             self._durable(one, offset)
             offset += len(one.data)
@@ -181,25 +188,25 @@
         lost = {number for number, _ in self.found.damaged}
         if not lost:
             return
-        self.log("store_unsure", {"for_s": round(self.found.unsure - self.clock.now(), 1)})
+        self.log("store_unsure", {"for_s": round(self.found.in_doubt_until - self.clock.now(), 1)})
         for shard in range(len(self.index.shards)):
-            for row in self.index.rows(shard):
+            for row in self.index.shard_rows(shard):
                 if row.segment in lost:
                     self.copy(row, self._read_now(row))
 
     def _read_now(self, row):
         try:
-            return self.journal.fetch(row.segment, row.offset, row.size)
+            return self.journal.read_record(row.segment, row.offset, row.size)
         except OSError:
             return None
 
     def copy(self, row, record):
         """Writes an entry anew at the end of the log; without its record, as one that ended."""
         good = (
-            isinstance(record, (records.Intent, records.Result, records.Failed))
+            isinstance(record, (records.IntentRecord, records.ResultRecord, records.FailedRecord))
             and record.digest == row.digest
         )
-        self.queue(record if good else records.Failed(row.digest, row.until))
+        self.queue(record if good else records.FailedRecord(row.digest, row.until))
 
     def view(self, now):
         segments = tuple(
@@ -237,7 +244,7 @@
     def dropped(self, number):
         self.found.segments.pop(number, None)
         self.count("store.segments_dropped")
-        self.helper.ask(("job", "drop", None), self.journal.drop, number)
+        self.helper.ask(("job", "drop", None), self.journal.delete_segment, number)
 
     def _next_aside(self):
         """Damaged segments leave the log once a snapshot stands without them; a few stay for a look."""
@@ -251,13 +258,13 @@
         self.helper.ask(("job", "set_aside", None), self.journal.set_aside, number)
         while len(self.aside) > self.bounds.damaged:
             gone = self.aside.pop(0)
-            self.helper.ask(("job", "drop", None), self.files.remove, names.damaged(gone))
+            self.helper.ask(("job", "drop", None), self.files.remove, directory.damaged_file(gone))
 
     def used(self):
         return sum(segment.size for segment in self.found.segments.values())
 
     def usable(self):
-        return usable(self.bounds)
+        return usable_log_bytes(self.bounds)
 
     def waiting(self):
         return self.pending_bytes + (self.flying[1] if self.flying else 0)
--- a/valeturn/result_store/opening.py
+++ b/valeturn/result_store/opening.py
@@ -1,77 +1,128 @@
-"""Reads a folder at the start, and for the commands: refuses what can't be used, touching nothing."""
+"""Opens a store's directory, at a start and for the commands; one that can't be used is left untouched."""
 
 from __future__ import annotations
 
 import os
+import re
+from typing import Final, NamedTuple
 
 import blake3
 
-from . import directory as names
-from . import recovery, snapshot
-from .recovery import Refused
+from . import directory, recovery, snapshot
+from .directory import StoreFiles
+from .errors import KeyFileError, NoStoreError, SnapshotDamagedError
+from .snapshot import LogPosition
+from .window_clock import ClockReading
 
-KNOWN = b"valeturn kept results"  # what the key's check is made of
-HEAD_BYTES = 65536  # of a segment, that hold its head however many files it tells of
+KNOWN_TEXT: Final = b"valeturn kept results"  # hashed with the key: part of the format on disk
+KEY_SIZE: Final = 32  # bytes
+KEY_CHECK_SIZE: Final = 8  # bytes
+# Bytes of a segment that hold its head, however many files it tells of.
+HEAD_READ_SIZE: Final = 65536
 
 
-def digest_key(files, may_make):
-    """The folder's key. One that is missing beside a log is no key at all: nothing could be told apart."""
-    listed = files.names()
-    if names.KEY in listed:
-        key = files.read(names.KEY)
-        if len(key) != 32:
-            raise Refused(f"the file {names.KEY} has {len(key)} bytes, wants 32")
+def read_or_create_key(files: StoreFiles, may_create: bool) -> bytes:
+    """Return the key of the digests, and create it in a directory without a store.
+
+    Raises:
+        KeyFileError: The key is damaged, or missing beside a log: no key could be looked up any more.
+        NoStoreError: There is no store, and none may be created.
+        OSError: The directory can't be read or written.
+    """
+    names = files.names()
+    if directory.KEY_FILE in names:
+        key = files.read(directory.KEY_FILE)
+        if len(key) != KEY_SIZE:
+            raise KeyFileError(directory.KEY_FILE, f"has {len(key)} bytes, wants {KEY_SIZE}")
         return key
-    if any(names.SEGMENT.fullmatch(file) for file in listed):
-        raise Refused(f"the file {names.KEY} is missing beside a log that was written with it")
-    if not may_make:
-        raise Refused("there is no store in this folder")
-    key, new = os.urandom(32), names.KEY + ".new"
-    files.remove(new)
-    files.create(new)
-    files.write(new, key)
-    files.sync(new)
-    files.close(new)
-    files.rename(new, names.KEY)
+    if any(directory.SEGMENT_PATTERN.fullmatch(file) for file in names):
+        raise KeyFileError(directory.KEY_FILE, "is missing beside a log that was written with it")
+    if not may_create:
+        raise NoStoreError
+    key = os.urandom(KEY_SIZE)
+    new_file = directory.KEY_FILE + ".new"
+    files.remove(new_file)
+    files.create(new_file)
+    files.write(new_file, key)
+    files.sync(new_file)
+    files.close(new_file)
+    files.rename(new_file, directory.KEY_FILE)
     files.sync_folder()
     return key
 
 
-def check_of(key):
-    return blake3.blake3(KNOWN, key=key).digest(8)
+def key_check(key: bytes) -> bytes:
+    """Return the keyed hash of the known text, by which files tell the key they were written with."""
+    return blake3.blake3(KNOWN_TEXT, key=key).digest(KEY_CHECK_SIZE)
+
 
+class OpenedStore(NamedTuple):
+    """A directory as it was found."""
 
-class Opened:
-    """A folder as it was found."""
+    key: bytes
+    recovered: recovery.RecoveredLog
+    covered: int  # all segments below this number are covered by the snapshot
+    snapshot_size: int  # bytes
+    snapshot_fault: str | None  # why the snapshot can't be used
+    position: LogPosition | None  # of the snapshot in the log
+    set_aside: list[int]  # damaged segments
 
-    def __init__(self, key, found, covered, snapshot_size, snapshot_bad, position, set_aside):
-        self.key, self.found, self.covered, self.snapshot_size = key, found, covered, snapshot_size
-        self.snapshot_bad, self.position, self.set_aside = snapshot_bad, position, set_aside
 
+def open_store(files: StoreFiles, reading: ClockReading, may_create: bool = True) -> OpenedStore:
+    """Read a directory and recover its log.
 
-def open_folder(files, moment, may_make=True):
-    """Raises Refused, or OSError where the folder can't be read."""
-    key = digest_key(files, may_make)
-    listed = files.names()
-    numbers = sorted(int(m.group(1)) for m in map(names.SEGMENT.fullmatch, listed) if m)
-    aside = sorted(int(m.group(1)) for m in map(names.DAMAGED.fullmatch, listed) if m)
-    shot, bad, size = None, None, 0
-    first = {number: files.read(names.name(number), HEAD_BYTES) for number in numbers}
-    if names.SNAPSHOT in listed:
-        data = files.read(names.SNAPSHOT)
-        size, got = len(data), snapshot.read(data)
-        shot, bad = (None, got) if isinstance(got, str) else (got, None)
-    found = recovery.recover(
-        shot, numbers, lambda number: files.read(names.name(number)), first, check_of(key), moment, aside
+    Args:
+        files: The directory.
+        reading: The machine's clocks now.
+        may_create: Whether a key is created where there is no store yet.
+
+    Raises:
+        StoreRefusedError: The directory can't be used.
+        OSError: It can't be read.
+    """
+    key = read_or_create_key(files, may_create)
+    names = files.names()
+    numbers = _segment_numbers(names, directory.SEGMENT_PATTERN)
+    set_aside = _segment_numbers(names, directory.DAMAGED_PATTERN)
+    first_bytes = {number: files.read(directory.segment_file(number), HEAD_READ_SIZE) for number in numbers}
+    found_snapshot = None
+    snapshot_fault = None
+    snapshot_size = 0
+    if directory.SNAPSHOT_FILE in names:
+        data = files.read(directory.SNAPSHOT_FILE)
+        snapshot_size = len(data)
+        try:
+            found_snapshot = snapshot.decode_snapshot(data)
+        except SnapshotDamagedError as error:
+            snapshot_fault = error.reason
+    source = recovery.LogSource(
+        found_snapshot,
+        numbers,
+        first_bytes,
+        lambda number: files.read(directory.segment_file(number)),
+        set_aside,
     )
+    recovered = recovery.recover(source, key_check(key), reading)
+    _match_segments(recovered, files, numbers)
+    recovered.last_segment = max([recovered.last_segment, *set_aside])
+    if snapshot_fault is not None:
+        recovered.note("snapshot_unusable", why=snapshot_fault)
+    position = found_snapshot.position if found_snapshot is not None else None
+    covered = position.segment if position is not None else 0
+    return OpenedStore(key, recovered, covered, snapshot_size, snapshot_fault, position, set_aside)
+
+
+def _segment_numbers(names: list[str], pattern: re.Pattern[str]) -> list[int]:
+    matches = (pattern.fullmatch(name) for name in names)
+    return sorted(int(match.group(1)) for match in matches if match is not None)
+
+
+def _match_segments(recovered: recovery.RecoveredLog, files: StoreFiles, numbers: list[int]) -> None:
+    """Make the recovered segments those whose files exist."""
     for number in numbers:
-        if number not in found.segments:  # in front of the snapshot, and gone from its list
-            found.segments[number] = recovery.Segment(number, files.size(names.name(number)))
-    for number in list(found.segments):
+        if number not in recovered.segments:  # Before the snapshot's position, and gone from its list.
+            size = files.size(directory.segment_file(number))
+            recovered.segments[number] = recovery.Segment(number, size)
+    for number in list(recovered.segments):
         if number not in numbers:
-            del found.segments[number]
-    found.last = max([found.last, *aside])
-    if bad:
-        found.note("snapshot_unusable", why=bad)
-    position = shot.position if shot is not None else None
-    return Opened(key, found, position[0] if position else 0, size, bad, position, aside)
+            del recovered.segments[number]
--- a/valeturn/result_store/options.py
+++ b/valeturn/result_store/options.py
@@ -19,12 +19,12 @@
 
     def fit(self, memory_mb):
         """The faults of these values beside the limits of the process."""
-        free = memory_mb * 1e6 - limits.PROCESS_LEAST
+        free = memory_mb * 1e6 - limits.MIN_PROCESS_MEMORY
         if self.memory > free:
             return [
                 self.where["memory"].fault(
                     "over-the-limits",
-                    f"memory leaves the process under {limits.PROCESS_LEAST / 1e6:g} MB of its "
+                    f"memory leaves the process under {limits.MIN_PROCESS_MEMORY / 1e6:g} MB of its "
                     f"limits.memory_mb = {memory_mb:g}; at most {max(0.0, free) / 1e6:g} MB fit",
                 )
             ]
@@ -33,13 +33,13 @@
 
 def build(values, where):
     options = StoreOptions(**values, where=where)
-    least = limits.LEAST_SEGMENTS * options.segment
+    least = limits.MIN_SEGMENTS * options.segment
     faults = []
     if options.disk < least:
         faults.append(
             where["disk"].fault(
                 "too-small",
-                f"disk wants room for {limits.LEAST_SEGMENTS} segments, {least / 1e6:g} MB at least",
+                f"disk wants room for {limits.MIN_SEGMENTS} segments, {least / 1e6:g} MB at least",
             )
         )
     return options, faults
--- a/valeturn/result_store/records.py
+++ b/valeturn/result_store/records.py
@@ -1,183 +1,272 @@
-"""The log's bytes: segments of frames, frames of records. No I/O.
+"""The bytes of the log: segments of frames, frames of records. No I/O.
 
     segment = magic:12 frame...           magic = "VTKEPT" major minor, CRC32C of these
     frame   = length:4 crc:4 sequence:4 check:4 payload      little-endian; crc is CRC32C of the payload,
-    check is
-              CRC32C of the three numbers and the segment's number, so that no frame of another segment passes
+              check is CRC32C of the three numbers and the segment's number, so that a frame that belongs to
+              another segment is not accepted
     payload = msgpack arrays, one after another; the first element of each is its kind
 
-A frame is what one write and one sync made durable. Sequence numbers go on through all segments.
+A frame is what one write and one sync made durable. Sequence numbers continue through all segments.
 """
 
 from __future__ import annotations
 
 import struct
-from typing import NamedTuple
+from typing import Any, Final, NamedTuple
 
 import google_crc32c
 import msgpack
 
+from .errors import NewerFormatError
 from .window_clock import ClockReading, StoreTimestamp
 
-MAJOR, MINOR = 1, 0
+MAJOR_VERSION: Final = 1
+MINOR_VERSION: Final = 0
+_KIND_SIZE: Final = 6  # bytes that name the kind of a file
+_MAGIC_SIZE: Final = 12  # bytes: the kind, two of the version, four of a CRC
 
 
-def preamble(kind, major, minor):
-    """The first 12 bytes of a file. Checked by themselves, so that a spoilt byte is no newer version."""
+def file_magic(kind: bytes, major: int, minor: int) -> bytes:
+    """Return the first 12 bytes of a file.
+
+    They have a CRC of their own, so that a damaged byte is not taken for a newer version.
+    """
     first = kind + bytes((major, minor))
-    return first + google_crc32c.value(first).to_bytes(4, "little")
+    crc: int = google_crc32c.value(first)
+    return first + crc.to_bytes(4, "little")
 
 
-def version(data, kind):
-    """(major, minor) of a file's bytes, or None where they do not begin as this kind's do."""
-    if len(data) < 12 or data[:6] != kind or preamble(kind, data[6], data[7]) != data[:12]:
+def format_version(data: bytes, kind: bytes) -> tuple[int, int] | None:
+    """Return a file's major and minor version, or None where its bytes don't begin as this kind's do."""
+    if len(data) < _MAGIC_SIZE or data[:_KIND_SIZE] != kind:
         return None
-    return data[6], data[7]
-
-
-KIND = b"VTKEPT"
-MAGIC = preamble(KIND, MAJOR, MINOR)
-HEADER = struct.Struct("<IIII")
-NUMBERS = struct.Struct("<III")
-MOST_FRAME = 16 << 20  # bytes: far above what may wait for the disk, so that a length read amiss is told
-HEAD, STAMP, INTENT, RESULT, FAILED, UNSENT, UNSURE = range(7)
+    major = data[_KIND_SIZE]
+    minor = data[_KIND_SIZE + 1]
+    return (major, minor) if file_magic(kind, major, minor) == data[:_MAGIC_SIZE] else None
+
+
+def check_format(data: bytes, kind: bytes, what: str) -> bool:
+    """Return whether the bytes begin as a file of this kind; `what` names the file in the error.
+
+    Raises:
+        NewerFormatError: The file's major version is newer than this program's.
+    """
+    found = format_version(data, kind)
+    if found is not None and found[0] > MAJOR_VERSION:
+        raise NewerFormatError(what, found[0], MAJOR_VERSION)
+    return found is not None
+
+
+LOG_KIND: Final = b"VTKEPT"
+LOG_MAGIC: Final = file_magic(LOG_KIND, MAJOR_VERSION, MINOR_VERSION)
+FRAME_HEADER: Final = struct.Struct("<IIII")
+_FRAME_NUMBERS: Final = struct.Struct("<III")
+# Bytes of a frame: far above what may wait for the disk, so that a damaged length is recognized.
+MAX_FRAME_SIZE: Final = 16 << 20
+# Kinds of records on disk. Plain integers: they are compared for each record.
+HEAD: Final = 0
+TIMESTAMP: Final = 1
+INTENT: Final = 2
+RESULT: Final = 3
+FAILED: Final = 4
+UNSENT: Final = 5
+IN_DOUBT: Final = 6
 _pack = msgpack.Packer(use_bin_type=True).pack
 
 
-class Head(NamedTuple):
+class SegmentHead(NamedTuple):
     """The first record of a segment."""
 
     segment: int
-    ends: tuple  # (segment, bytes of it that are good) for those before it since the last head
+    # Pairs of a segment and its number of good bytes, for the segments before this one since the last head.
+    segment_ends: tuple[tuple[int, int], ...]
     boot_id: str
-    check: bytes  # what the key of the digests makes of a known text
-    longest: float  # s of the longest window then
+    key_check: bytes  # the keyed hash of a known text, which tells the directory's key
+    longest_window: float  # seconds, of all windows then configured
 
 
-class Intent(NamedTuple):
+class IntentRecord(NamedTuple):
+    """An execution with this key is about to be sent."""
+
     digest: bytes
-    until: int
-    call: bytes  # 8 bytes
-    workload: str
+    until: int  # store time in seconds at which the window ends
+    execution_id: bytes  # 8 bytes
+    request_class: str
+
 
+class ResultRecord(NamedTuple):
+    """The execution ended with a result."""
 
-class Result(NamedTuple):
     digest: bytes
-    until: int
+    until: int  # store time, seconds
     body: bytes
-    crc: int  # of the body: a record is read alone when it is answered from
+    crc: int  # CRC32C of the body, as a record is read alone to answer a duplicate
 
 
-class Failed(NamedTuple):
+class FailedRecord(NamedTuple):
+    """The execution ended without a result."""
+
     digest: bytes
-    until: int
+    until: int  # store time, seconds
+
 
+class UnsentRecord(NamedTuple):
+    """The execution of a logged intent never began."""
 
-class Unsent(NamedTuple):
     digest: bytes
 
 
-class Unsure(NamedTuple):
-    """Something was lost: what is not known until then may have run."""
+class InDoubtRecord(NamedTuple):
+    """Records were lost: any key unknown until then may have been executed."""
 
-    until: float
+    until: float  # store time, seconds
 
 
-class Other(NamedTuple):
-    """A kind that a newer minor version has: passed over."""
+class UnknownRecord(NamedTuple):
+    """A kind that a newer minor version writes; it is skipped."""
 
     kind: object
 
 
-_TYPES = {HEAD: Head, INTENT: Intent, RESULT: Result, FAILED: Failed, UNSENT: Unsent, UNSURE: Unsure}
-KINDS = {of: kind for kind, of in _TYPES.items()}
+KeyRecord = IntentRecord | ResultRecord | FailedRecord | UnsentRecord
+Record = SegmentHead | KeyRecord | InDoubtRecord | UnknownRecord | StoreTimestamp
+# The offset, size, kind and fields of a record: a plain tuple, as a start reads millions of them.
+RawRecord = tuple[int, int, int, tuple[Any, ...]]
+
+_RECORD_TYPES: Final[dict[int, Any]] = {
+    HEAD: SegmentHead,
+    INTENT: IntentRecord,
+    RESULT: ResultRecord,
+    FAILED: FailedRecord,
+    UNSENT: UnsentRecord,
+    IN_DOUBT: InDoubtRecord,
+}
+KIND_OF_TYPE: Final[dict[type, int]] = {record_type: kind for kind, record_type in _RECORD_TYPES.items()}
+
+
+class DecodedRecord(NamedTuple):
+    """A record and where it stands in its payload."""
 
+    offset: int  # bytes
+    size: int  # bytes
+    record: Record
 
-def encode(record):
+
+def encode_record(record: Record) -> bytes:
+    """Return a record's bytes."""
     if isinstance(record, StoreTimestamp):
-        return _pack([STAMP, record.store_time, record.reading.wall, record.reading.boot])
-    return _pack([KINDS[type(record)], *record])
+        packed: bytes = _pack([TIMESTAMP, record.store_time, record.reading.wall, record.reading.boot])
+    else:
+        packed = _pack([KIND_OF_TYPE[type(record)], *record])
+    return packed
+
 
+def make_result(digest: bytes, until: int, body: bytes) -> ResultRecord:
+    """Return the record of a result, with its body's checksum."""
+    return ResultRecord(digest, until, body, google_crc32c.value(body))
 
-def result(digest, until, body):
-    return Result(digest, until, body, google_crc32c.value(body))
 
+def parse_records(payload: bytes) -> list[RawRecord]:
+    """Split a payload into its records.
 
-def raw(payload):
-    """(offset, size, kind, fields) of each record. Raises ValueError on what is none, which a good CRC rules
-    out but for a fault of the writer."""
-    unpacker = msgpack.Unpacker(raw=False, use_list=False, max_buffer_size=MOST_FRAME)
+    Raises:
+        ValueError: The bytes are not records. A good CRC rules this out but for a fault of the writer.
+    """
+    unpacker = msgpack.Unpacker(raw=False, use_list=False, max_buffer_size=MAX_FRAME_SIZE)
     unpacker.feed(payload)
-    out, at = [], 0
+    parsed: list[RawRecord] = []
+    offset = 0
     try:
         for fields in unpacker:
             end = unpacker.tell()
-            out.append((at, end - at, fields[0], fields[1:]))
-            at = end
+            parsed.append((offset, end - offset, fields[0], fields[1:]))
+            offset = end
     except (msgpack.UnpackException, TypeError, IndexError, UnicodeDecodeError) as error:
-        raise ValueError(f"record {len(out)}: {type(error).__name__}: {error}") from None
-    if at != len(payload):
+        raise ValueError(f"record {len(parsed)}: {type(error).__name__}: {error}") from None
+    if offset != len(payload):
         raise ValueError("a record is cut")
-    return out
+    return parsed
+
 
+def decode_records(payload: bytes, boot_id: str = "") -> list[DecodedRecord]:
+    """Decode all records of a payload; `boot_id` is that of the segment's head, for its timestamps.
 
-def decode(payload, boot_id=""):
-    """(offset, size, record) of each record. Raises ValueError as `raw` does."""
+    Raises:
+        ValueError: The bytes are not records.
+    """
     try:
-        return [(at, size, _record(kind, rest, boot_id)) for at, size, kind, rest in raw(payload)]
+        return [
+            DecodedRecord(offset, size, _decode(kind, fields, boot_id))
+            for offset, size, kind, fields in parse_records(payload)
+        ]
     except (TypeError, IndexError) as error:
         raise ValueError(f"{type(error).__name__}: {error}") from None
 
 
-def _record(kind, rest, boot_id):
-    if kind == STAMP:
-        return StoreTimestamp(rest[0], ClockReading(rest[1], rest[2], boot_id))
-    of = _TYPES.get(kind)
-    return of(*rest[: len(of._fields)]) if of is not None else Other(kind)
+def _decode(kind: int, fields: tuple[Any, ...], boot_id: str) -> Record:
+    if kind == TIMESTAMP:
+        return StoreTimestamp(fields[0], ClockReading(fields[1], fields[2], boot_id))
+    record_type = _RECORD_TYPES.get(kind)
+    if record_type is None:
+        return UnknownRecord(kind)
+    # Fields that a newer minor version appends are skipped.
+    record: Record = record_type(*fields[: len(record_type._fields)])
+    return record
 
 
-def one(data):
-    """The record of bytes that were read alone, or None where they are not whole."""
+def decode_single(data: bytes) -> Record | None:
+    """Decode a record that was read alone, or return None where its bytes are not whole."""
     try:
-        ((_, _, record),) = decode(data)
+        ((_, _, record),) = decode_records(data)
     except ValueError:
         return None
-    if isinstance(record, Result) and google_crc32c.value(record.body) != record.crc:
+    if isinstance(record, ResultRecord) and google_crc32c.value(record.body) != record.crc:
         return None
     return record
 
 
-def frame(segment, sequence, payload):
-    numbers = NUMBERS.pack(len(payload), google_crc32c.value(payload), sequence & 0xFFFFFFFF)
-    check = google_crc32c.value(numbers + segment.to_bytes(4, "little"))
+def encode_frame(segment: int, sequence: int, payload: bytes) -> bytes:
+    """Return the bytes of a frame."""
+    numbers = _FRAME_NUMBERS.pack(len(payload), google_crc32c.value(payload), sequence & 0xFFFFFFFF)
+    check: int = google_crc32c.value(numbers + segment.to_bytes(4, "little"))
     return numbers + check.to_bytes(4, "little") + payload
 
 
 class Frame(NamedTuple):
-    offset: int  # of its payload in the segment
+    """A good frame as it was read."""
+
+    offset: int  # of its payload in the segment, bytes
     sequence: int
     payload: bytes
-    end: int  # where the next one begins
+    end: int  # the offset at which the next frame begins
+
+
+class FrameHeader(NamedTuple):
+    """The numbers in front of a payload."""
+
+    length: int  # of the payload, bytes
+    crc: int  # CRC32C of the payload
+    sequence: int
 
 
-def header_at(data, at, segment):
-    """(length, crc, sequence) of a frame's header, or None where there is no good one."""
-    if at + HEADER.size > len(data):
+def read_frame_header(data: bytes, offset: int, segment: int) -> FrameHeader | None:
+    """Return the frame header at an offset, or None where there is no good one."""
+    if offset + FRAME_HEADER.size > len(data):
         return None
-    length, crc, sequence, check = HEADER.unpack_from(data, at)
-    numbers = bytes(data[at : at + NUMBERS.size]) + segment.to_bytes(4, "little")
-    if length > MOST_FRAME or google_crc32c.value(numbers) != check:
+    length, crc, sequence, check = FRAME_HEADER.unpack_from(data, offset)
+    numbers = bytes(data[offset : offset + _FRAME_NUMBERS.size]) + segment.to_bytes(4, "little")
+    if length > MAX_FRAME_SIZE or google_crc32c.value(numbers) != check:
         return None
-    return length, crc, sequence
+    return FrameHeader(length, crc, sequence)
 
 
-def frame_at(data, at, segment):
-    """The good frame that begins there, or None."""
-    header = header_at(data, at, segment)
-    if header is None or at + HEADER.size + header[0] > len(data):
+def read_frame(data: bytes, offset: int, segment: int) -> Frame | None:
+    """Return the frame that begins at an offset, or None where there is no good one."""
+    header = read_frame_header(data, offset, segment)
+    if header is None or offset + FRAME_HEADER.size + header.length > len(data):
         return None
-    start = at + HEADER.size
-    payload = bytes(data[start : start + header[0]])
-    if google_crc32c.value(payload) != header[1]:
+    start = offset + FRAME_HEADER.size
+    payload = bytes(data[start : start + header.length])
+    if google_crc32c.value(payload) != header.crc:
         return None
-    return Frame(start, header[2], payload, start + header[0])
+    return Frame(start, header.sequence, payload, start + header.length)
--- a/valeturn/result_store/recovery.py
+++ b/valeturn/result_store/recovery.py
@@ -1,267 +1,402 @@
-"""What a log that is found on the disk says: pure functions from bytes to an index and its doubts.
+"""Recovery: from the bytes of a log to an index, and to what is in doubt. Pure functions.
 
 A frame that is not whole ends the log (a torn tail) only where nothing can have followed it: it reaches past
-the end of the last file, as a process that is killed leaves it, or the machine was started anew since, which
-may leave any bytes of the last write. All else is damage: the segment is read on behind it, and what may have
-been lost with it stays in doubt for the longest window.
+the end of the last file, as a process that is killed leaves it, or the machine was rebooted since, which may
+leave any bytes of the last write. Everything else is damage: the segment is read on behind it, and keys whose
+records may have been lost stay in doubt for the longest window.
 """
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from collections.abc import Callable, Collection, Iterable, Mapping
+from enum import Enum
+from typing import Any, Final, NamedTuple
 
 from . import records, window_clock
 from .entry_states import FAILED, IN_DOUBT, STORED
+from .errors import KeyMismatchError
 from .index import Index
+from .snapshot import LogPosition, Snapshot, UnfinishedExecution
+from .window_clock import ClockReading, StoreTimestamp
 
-WHOLE, TORN, DAMAGED = "whole", "torn", "damaged"
+# Sequence numbers searched for behind a bad frame: a search for one takes a millisecond in a whole segment.
+MAX_SEQUENCE_GAP: Final = 1024
+_SEQUENCE_OFFSET: Final = 8  # of the sequence number in a frame's header, bytes
 
 
-class Refused(Exception):
-    """The folder can't be used, and nothing in it was touched."""
+class ScanVerdict(Enum):
+    """What a scan found of a segment."""
 
+    WHOLE = "whole"
+    TORN = "torn"  # the last write was cut: nothing durable is lost
+    DAMAGED = "damaged"
 
-class Scan(NamedTuple):
-    frames: list
-    verdict: str
-    end: int  # bytes that are good from the front
-    bad_at: int  # where the first bad frame begins, or -1
 
+class SegmentScan(NamedTuple):
+    """The frames of a segment."""
 
-def scan(data, segment, start, known_end, same_boot, sequence=0):
-    """The frames of a segment from `start`. known_end: its good bytes as a later segment tells them, or None
-    for the last segment. sequence: of the frame before `start`."""
-    limit = len(data) if known_end is None else min(known_end, len(data))
-    view, frames, at, verdict, end, bad_at = data[:limit], [], start, WHOLE, start, -1
-    while at < limit:
-        frame = records.frame_at(view, at, segment)
+    frames: list[records.Frame]
+    verdict: ScanVerdict
+    end: int  # bytes that are good from the front
+    bad_at: int  # the offset of the first bad frame, or -1
+
+
+def scan(
+    data: bytes, segment: int, start: int, known_end: int | None, same_boot: bool, sequence: int = 0
+) -> SegmentScan:
+    """Scan a segment's frames from the offset `start`.
+
+    Args:
+        data: The bytes of the segment.
+        segment: Its number.
+        start: The offset of the first frame to read.
+        known_end: Its number of good bytes as a later segment tells it, or None for the last segment.
+        same_boot: Whether it was written in the machine's current boot.
+        sequence: The sequence number of the frame before `start`.
+    """
+    view = data if known_end is None else data[:known_end]
+    frames: list[records.Frame] = []
+    verdict = ScanVerdict.WHOLE
+    offset = start
+    end = start
+    bad_at = -1
+    while offset < len(view):
+        frame = records.read_frame(view, offset, segment)
         if frame is not None:
             frames.append(frame)
-            at = frame.end
-            end = at if verdict is WHOLE else end
+            offset = frame.end
+            if verdict is ScanVerdict.WHOLE:
+                end = offset
             continue
-        if verdict is WHOLE:
-            bad_at, verdict = (
-                at,
-                TORN if known_end is None and _torn(view, at, segment, same_boot) else DAMAGED,
-            )
-        again = _next_frame(view, at + 1, segment, frames[-1].sequence if frames else sequence)
-        if again is None:
+        if verdict is ScanVerdict.WHOLE:
+            bad_at = offset
+            torn = known_end is None and _is_torn(view, offset, segment, same_boot)
+            verdict = ScanVerdict.TORN if torn else ScanVerdict.DAMAGED
+        last_sequence = frames[-1].sequence if frames else sequence
+        next_offset = _find_next_frame(view, offset + 1, segment, last_sequence)
+        if next_offset is None:
             break
-        verdict, at = DAMAGED, again  # a whole frame follows: no write was cut here
-    if known_end is not None and len(data) < known_end and verdict is WHOLE:
-        verdict, bad_at = DAMAGED, len(data)
-    return Scan(frames, verdict, end, bad_at)
+        verdict = ScanVerdict.DAMAGED  # A whole frame follows, so this was no write that was cut.
+        offset = next_offset
+    if known_end is not None and len(data) < known_end and verdict is ScanVerdict.WHOLE:
+        verdict = ScanVerdict.DAMAGED
+        bad_at = len(data)
+    return SegmentScan(frames, verdict, end, bad_at)
 
 
-def _torn(view, at, segment, same_boot):
-    if not same_boot or len(view) - at < records.HEADER.size:
+def _is_torn(view: bytes, offset: int, segment: int, same_boot: bool) -> bool:
+    """Return whether a bad frame of the last segment can be the rest of a write that was cut."""
+    if not same_boot or len(view) - offset < records.FRAME_HEADER.size:
         return True
-    header = records.header_at(view, at, segment)
-    return header is not None and at + records.HEADER.size + header[0] > len(view)
+    header = records.read_frame_header(view, offset, segment)
+    return header is not None and offset + records.FRAME_HEADER.size + header.length > len(view)
+
+
+def _find_next_frame(view: bytes, offset: int, segment: int, sequence: int) -> int | None:
+    """Return where the next good frame begins, found by the sequence number that it must have."""
+    for number in range(sequence + 1, sequence + 1 + MAX_SEQUENCE_GAP):
+        text = (number & 0xFFFFFFFF).to_bytes(4, "little")
+        found = view.find(text, offset)
+        while found >= 0:
+            start = found - _SEQUENCE_OFFSET
+            if start >= offset and records.read_frame(view, start, segment) is not None:
+                return start
+            found = view.find(text, found + 1)
+    return None
 
 
-SOUGHT = 1024  # numbers looked for behind a bad frame: a search for one is a millisecond in a whole segment
+class Segment:
+    """What is held in memory of one segment."""
 
+    __slots__ = ("longest_until", "number", "size")
 
-def _next_frame(view, at, segment, sequence):
-    """Where the next good frame begins, found by the number that it must have."""
-    for number in range(sequence + 1, sequence + 1 + SOUGHT):
-        text, found = (number & 0xFFFFFFFF).to_bytes(4, "little"), at - 1
-        while (found := view.find(text, found + 1)) >= 0:
-            if found - 8 >= at and records.frame_at(view, found - 8, segment) is not None:
-                return found - 8
-    return None
+    def __init__(self, number: int, size: int, longest_until: float = 0) -> None:
+        self.number = number
+        self.size = size  # bytes
+        self.longest_until = longest_until  # store time in seconds at which its last window ends
 
 
-class Segment:
-    """What is kept in memory of one log file."""
+class DamagedSegment(NamedTuple):
+    """A segment that lost records, and how that was recognized."""
 
-    __slots__ = ("longest_until", "number", "size")
+    number: int
+    reason: str
+
+
+class RecoveryNote(NamedTuple):
+    """A finding for the log of the server and the output of `inspect`."""
+
+    event: str
+    fields: dict[str, Any]
+
+
+class RecoveredLog:
+    """What a directory holds, as far as it can be read."""
+
+    def __init__(self) -> None:
+        self.index = Index()
+        self.segments: dict[int, Segment] = {}
+        self.unfinished: dict[bytes, UnfinishedExecution] = {}  # by digest
+        self.sequence = 0  # of the last frame
+        self.last_segment = 0  # the highest number that was ever used
+        self.timestamp: StoreTimestamp | None = None
+        self.longest_window = 0.0  # seconds
+        self.in_doubt_until = 0.0  # store time, seconds
+        self.known_ends: dict[int, int] = {}  # segment -> its good bytes, as later heads tell
+        self.segment_ends: list[tuple[int, int]] = []  # what the next head tells of the segments before it
+        self.damaged: list[DamagedSegment] = []
+        self.notes: list[RecoveryNote] = []
+        self.record_count = 0
+        self.unknown_records = 0
+
+    def note(self, event: str, **fields: Any) -> None:  # noqa: ANN401 (a log event takes any fields)
+        """Add a finding."""
+        self.notes.append(RecoveryNote(event, fields))
 
-    def __init__(self, number, size, longest_until=0):
-        self.number, self.size, self.longest_until = number, size, longest_until
+    def mark_damaged(self, number: int, reason: str) -> None:
+        """Record that a segment lost records."""
+        self.damaged.append(DamagedSegment(number, reason))
 
 
-class Found:
-    """What a folder holds, read as far as it can be."""
+class LogSource(NamedTuple):
+    """The files from which a log is recovered."""
 
-    def __init__(self):
-        self.index, self.segments, self.unsettled = Index(), {}, {}  # unsettled: digest -> (call, workload)
-        self.sequence, self.last, self.stamp, self.longest, self.unsure = 0, 0, None, 0.0, 0.0
-        self.known_ends = {}  # segment -> its good bytes, as later heads tell
-        self.ends = []  # what the next head tells of the files before it
-        self.damaged, self.notes, self.records, self.passed_over = [], [], 0, 0
+    snapshot: Snapshot | None
+    segments: Collection[int]  # numbers
+    first_bytes: Mapping[int, bytes]  # of each segment, enough for its head
+    read: Callable[[int], bytes]  # all bytes of a segment
+    set_aside: Collection[int] = ()  # damaged segments whose readable records were written anew
 
-    def note(self, event, **fields):
-        self.notes.append((event, fields))
 
+def read_segment_heads(first_bytes: Mapping[int, bytes]) -> dict[int, records.SegmentHead]:
+    """Return the heads of those segments whose first frame is good, by number.
 
-def heads(first_bytes):
-    """number -> Head of those segments whose first frame is good."""
-    out = {}
+    Raises:
+        NewerFormatError: A segment was written by a newer version.
+    """
+    heads = {}
     for number, data in first_bytes.items():
-        check_version(data, records.KIND, f"segment {number}")
-        frame = records.frame_at(data, len(records.MAGIC), number)
+        records.check_format(data, records.LOG_KIND, f"segment {number}")
+        frame = records.read_frame(data, len(records.LOG_MAGIC), number)
         if frame is not None:
-            head = records.decode(frame.payload)[0][2]
-            if isinstance(head, records.Head):
-                out[number] = head
-    return out
-
-
-def check_version(data, kind, what):
-    """True where the bytes begin as they should. Raises Refused on a newer format."""
-    found = records.version(data, kind)
-    if found is not None and found[0] > records.MAJOR:
-        raise Refused(f"{what} has format {found[0]}, this version reads up to {records.MAJOR}")
-    return found is not None
-
-
-def recover(snapshot, numbers, read, first_bytes, check, moment, aside=()):
-    """The folder's state. snapshot: a Snapshot or None. numbers: the segments there are; read(number): the
-    bytes of one; check: what the key of the digests makes of the known text; moment: the clocks now; aside:
-    segments that were damaged and set aside, what could be read of them written anew. Raises Refused."""
-    found, known = Found(), heads(first_bytes)
-    for number, head in known.items():
-        if head.check != check:
-            raise Refused(f"segment {number} was written with another key")
-        found.longest = max(found.longest, head.longest)
-    ends = found.known_ends = {number: end for head in known.values() for number, end in head.ends}
+            head = records.decode_records(frame.payload)[0].record
+            if isinstance(head, records.SegmentHead):
+                heads[number] = head
+    return heads
+
+
+def recover(source: LogSource, key_check: bytes, reading: ClockReading) -> RecoveredLog:
+    """Recover the state of a directory.
+
+    Args:
+        source: Its files.
+        key_check: The keyed hash of the known text with the directory's key.
+        reading: The machine's clocks now.
+
+    Raises:
+        NewerFormatError: A segment was written by a newer version.
+        KeyMismatchError: A file was written with another key.
+    """
+    recovered = RecoveredLog()
+    heads = read_segment_heads(source.first_bytes)
+    _check_keys(heads, source.snapshot, key_check)
+    for head in heads.values():
+        recovered.longest_window = max(recovered.longest_window, head.longest_window)
+        recovered.known_ends.update(head.segment_ends)
     position = None
-    if snapshot is not None:
-        if snapshot.check != check:
-            raise Refused("the snapshot was written with another key")
-        position = _take_snapshot(found, snapshot)
-    numbers = sorted(numbers)
-    found.last = max([found.last, *numbers])
-    if numbers and position is not None and position[0] not in numbers:
-        found.note("snapshot_newer", segment=position[0], last=numbers[-1])
-        found.damaged.append((position[0], "missing"))
-    before = None
+    if source.snapshot is not None:
+        position = source.snapshot.position
+        _restore_snapshot(recovered, source.snapshot)
+    numbers = sorted(source.segments)
+    recovered.last_segment = max([recovered.last_segment, *numbers])
+    if numbers and position is not None and position.segment not in numbers:
+        _note_newer_snapshot(recovered, position, numbers[-1])
+    replayed = [number for number in numbers if position is None or number >= position.segment]
+    _replay_segments(recovered, source, replayed, heads, reading)
+    if numbers and position is not None and not replayed:
+        _note_newer_snapshot(recovered, position, numbers[-1])
+    if not recovered.segment_ends and numbers and numbers[-1] in recovered.segments:
+        recovered.segment_ends = [(numbers[-1], recovered.segments[numbers[-1]].size)]
+    if recovered.damaged:
+        _put_in_doubt(recovered, reading)
+    return recovered
+
+
+def _check_keys(
+    heads: Mapping[int, records.SegmentHead], snapshot: Snapshot | None, key_check: bytes
+) -> None:
+    for number, head in heads.items():
+        if head.key_check != key_check:
+            raise KeyMismatchError(f"segment {number}")
+    if snapshot is not None and snapshot.key_check != key_check:
+        raise KeyMismatchError("the snapshot")
+
+
+def _restore_snapshot(recovered: RecoveredLog, snapshot: Snapshot) -> None:
+    assert snapshot.entries is not None
+    recovered.index = snapshot.entries
+    recovered.sequence = snapshot.sequence
+    recovered.timestamp = snapshot.timestamp
+    recovered.unfinished = dict(snapshot.unfinished)
+    recovered.longest_window = max(recovered.longest_window, snapshot.longest_window)
+    recovered.in_doubt_until = snapshot.in_doubt_until
+    recovered.last_segment = snapshot.position.segment
+    for number, size, longest_until in snapshot.segments:
+        recovered.segments[number] = Segment(number, size, longest_until)
+
+
+def _note_newer_snapshot(recovered: RecoveredLog, position: LogPosition, last: int) -> None:
+    """Record that the snapshot's position lies in a segment that is missing."""
+    recovered.note("snapshot_newer", segment=position.segment, last=last)
+    recovered.mark_damaged(position.segment, "missing")
+
+
+def _replay_segments(
+    recovered: RecoveredLog,
+    source: LogSource,
+    numbers: Iterable[int],
+    heads: Mapping[int, records.SegmentHead],
+    reading: ClockReading,
+) -> None:
+    """Replay segments in ascending order; gaps between their numbers are damage."""
+    last = max(source.segments, default=0)
+    previous = None
     for number in numbers:
-        if position is not None and number < position[0]:
-            continue
-        if before is not None and number != before + 1:
-            gone = (one for one in range(before + 1, number) if one not in aside and ends.get(one) != 0)
-            found.damaged += [(missing, "missing") for missing in gone]
-        before = number
-        start = position[1] if position is not None and number == position[0] else len(records.MAGIC)
-        last = number == numbers[-1]
-        _read_segment(
-            found,
+        if previous is not None:
+            for missing in range(previous + 1, number):
+                # One that was set aside, or never got its head, had nothing that is missing now.
+                if missing not in source.set_aside and recovered.known_ends.get(missing) != 0:
+                    recovered.mark_damaged(missing, "missing")
+        previous = number
+        start = len(records.LOG_MAGIC)
+        if source.snapshot is not None and number == source.snapshot.position.segment:
+            start = source.snapshot.position.offset
+        head = heads.get(number)
+        _replay_segment(
+            recovered,
             number,
-            read(number),
+            source.read(number),
             start,
-            None if last else ends.get(number),
-            last and _boot_of(known, number, moment),
-            known,
-        )
-    if numbers and position is not None and before is None:
-        found.note("snapshot_newer", segment=position[0], last=numbers[-1])
-        found.damaged.append((position[0], "missing"))
-    if found.ends == [] and numbers:
-        found.ends = (
-            [(numbers[-1], found.segments[numbers[-1]].size)] if numbers[-1] in found.segments else []
+            None if number == last else recovered.known_ends.get(number),
+            number == last and head is not None and bool(head.boot_id) and head.boot_id == reading.boot_id,
+            head.boot_id if head is not None else "",
         )
-    if found.damaged:
-        at = window_clock.resume(found.stamp, moment)
-        found.unsure = max(found.unsure, at + found.longest)
-        found.note(
-            "damage", segments=",".join(f"{n}:{why}" for n, why in found.damaged), longest=found.longest
-        )
-    return found
-
-
-def _boot_of(known, number, moment):
-    head = known.get(number)
-    return head is not None and bool(head.boot_id) and head.boot_id == moment.boot_id
-
-
-def _take_snapshot(found, snapshot):
-    found.index, found.sequence, found.stamp = snapshot.index, snapshot.sequence, snapshot.stamp
-    found.unsettled, found.longest = dict(snapshot.unsettled), max(found.longest, snapshot.longest)
-    found.unsure, found.last = snapshot.unsure, snapshot.position[0]
-    for number, size, until in snapshot.segments:
-        found.segments[number] = Segment(number, size, until)
-    return snapshot.position
 
 
-def _read_segment(found, number, data, start, known_end, same_boot, known):
-    if records.version(data, records.KIND) is None:
-        if _next_frame(data, 0, number, found.sequence) is None and not known_end:
-            # A file that was made and never got its head: nothing in it was ever acted on.
-            found.segments[number] = Segment(number, len(data))
-            found.ends.append((number, 0))
+def _put_in_doubt(recovered: RecoveredLog, reading: ClockReading) -> None:
+    """Put all unknown keys in doubt for the longest window, as records were lost."""
+    now = window_clock.resume(recovered.timestamp, reading)
+    recovered.in_doubt_until = max(recovered.in_doubt_until, now + recovered.longest_window)
+    segments = ",".join(f"{number}:{reason}" for number, reason in recovered.damaged)
+    recovered.note("damage", segments=segments, longest=recovered.longest_window)
+
+
+def _replay_segment(
+    recovered: RecoveredLog,
+    number: int,
+    data: bytes,
+    start: int,
+    known_end: int | None,
+    same_boot: bool,
+    boot_id: str,
+) -> None:
+    """Apply the records of one segment and record its end; the arguments are those of `scan`."""
+    if records.format_version(data, records.LOG_KIND) is None:
+        if not known_end and _find_next_frame(data, 0, number, recovered.sequence) is None:
+            # A file that was created and never got its head: nothing in it was ever acted on.
+            recovered.segments[number] = Segment(number, len(data))
+            recovered.segment_ends.append((number, 0))
             return
-        found.damaged.append((number, "no magic"))
+        recovered.mark_damaged(number, "no magic")
     if start > len(data):
-        found.note("snapshot_newer", segment=number, offset=start, size=len(data))
-        found.damaged.append((number, "shorter than its snapshot"))
-        found.segments[number] = Segment(number, len(data))
-        found.ends.append((number, len(data)))
+        recovered.note("snapshot_newer", segment=number, offset=start, size=len(data))
+        recovered.mark_damaged(number, "shorter than its snapshot")
+        recovered.segments[number] = Segment(number, len(data))
+        recovered.segment_ends.append((number, len(data)))
         return
-    got = scan(data, number, start, known_end, same_boot, found.sequence)
-    entry = found.segments.setdefault(number, Segment(number, 0))
-    entry.size = max(entry.size, len(data))
-    boot = known[number].boot_id if number in known else ""
-    for frame in got.frames:
-        _apply_frame(found, entry, frame, boot)
-    if got.verdict is TORN:
-        found.note("torn", segment=number, at=got.bad_at, cut=len(data) - got.bad_at)
-    elif got.verdict is DAMAGED:
-        found.damaged.append((number, f"at {got.bad_at}"))
+    scanned = scan(data, number, start, known_end, same_boot, recovered.sequence)
+    segment = recovered.segments.setdefault(number, Segment(number, 0))
+    segment.size = max(segment.size, len(data))
+    for frame in scanned.frames:
+        _apply_frame(recovered, segment, frame, boot_id)
+    if scanned.verdict is ScanVerdict.TORN:
+        recovered.note("torn", segment=number, at=scanned.bad_at, cut=len(data) - scanned.bad_at)
+    elif scanned.verdict is ScanVerdict.DAMAGED:
+        recovered.mark_damaged(number, f"at {scanned.bad_at}")
     if known_end is None:
-        found.ends.append((number, len(data) if got.verdict is DAMAGED else got.end))
-
-
-def _apply_frame(found, segment, frame, boot):
-    if found.sequence and frame.sequence != (found.sequence + 1) & 0xFFFFFFFF:
-        if not any(number == segment.number for number, _ in found.damaged):
-            found.damaged.append((segment.number, f"frames missing before {frame.sequence}"))
-    found.sequence = frame.sequence
-    for at, size, kind, fields in records.raw(frame.payload):
-        found.records += 1
-        apply(found, segment, frame.offset + at, size, kind, fields, boot)
-
-
-STATES = {records.INTENT: IN_DOUBT, records.RESULT: STORED, records.FAILED: FAILED}
-
-
-def apply(found, segment, offset, size, kind, fields, boot=""):
-    """Moves the index by one durable record: the same for what is read at a start and what was just written.
-    fields: those of the record, in their order."""
-    state = STATES.get(kind)
+        end = len(data) if scanned.verdict is ScanVerdict.DAMAGED else scanned.end
+        recovered.segment_ends.append((number, end))
+
+
+def _apply_frame(recovered: RecoveredLog, segment: Segment, frame: records.Frame, boot_id: str) -> None:
+    """Apply the records of one frame; a gap in the sequence numbers is damage, told once a segment."""
+    expected = (recovered.sequence + 1) & 0xFFFFFFFF
+    gap = recovered.sequence and frame.sequence != expected
+    if gap and all(number != segment.number for number, _ in recovered.damaged):
+        recovered.mark_damaged(segment.number, f"frames missing before {frame.sequence}")
+    recovered.sequence = frame.sequence
+    for offset, size, kind, fields in records.parse_records(frame.payload):
+        recovered.record_count += 1
+        apply_record(recovered, segment, frame.offset + offset, size, kind, fields, boot_id)
+
+
+# The state of an entry after a record of this kind.
+_STATE_OF_KIND: Final = {records.INTENT: IN_DOUBT, records.RESULT: STORED, records.FAILED: FAILED}
+
+
+def apply_record(
+    recovered: RecoveredLog,
+    segment: Segment,
+    offset: int,
+    size: int,
+    kind: int,
+    fields: tuple[Any, ...],
+    boot_id: str = "",
+) -> None:
+    """Apply one durable record to the index: the same on recovery and after a write.
+
+    Args:
+        recovered: What is updated.
+        segment: The record's segment.
+        offset: Of the record in the segment, bytes.
+        size: Of the record, bytes.
+        kind: The record's kind on disk.
+        fields: The record's fields, in their order on disk.
+        boot_id: That of the segment's head, for timestamps.
+    """
+    state = _STATE_OF_KIND.get(kind)
     if state is not None:
-        digest, until = fields[0], fields[1]
-        found.index.put(digest, segment.number, offset, until, size, state)
-        if until > segment.longest_until:
+        digest = fields[0]
+        until = fields[1]
+        recovered.index.put(digest, segment.number, offset, until, size, state)
+        if until > segment.longest_until:  # noqa: PLR1730 (once a record; max() takes longer)
             segment.longest_until = until
         if state == IN_DOUBT:
-            found.unsettled[digest] = fields[2], fields[3]
+            recovered.unfinished[digest] = fields[2], fields[3]
         else:
-            found.unsettled.pop(digest, None)
+            recovered.unfinished.pop(digest, None)
     elif kind == records.UNSENT:
-        found.index.remove(fields[0])
-        found.unsettled.pop(fields[0], None)
-    elif kind == records.STAMP:
-        if found.stamp is None or fields[0] >= found.stamp.store_time:
-            found.stamp = window_clock.StoreTimestamp(
-                fields[0], window_clock.ClockReading(fields[1], fields[2], boot)
-            )
-    elif kind == records.UNSURE:
-        found.unsure = max(found.unsure, fields[0])
+        recovered.index.remove(fields[0])
+        recovered.unfinished.pop(fields[0], None)
+    elif kind == records.TIMESTAMP:
+        if recovered.timestamp is None or fields[0] >= recovered.timestamp.store_time:
+            recovered.timestamp = StoreTimestamp(fields[0], ClockReading(fields[1], fields[2], boot_id))
+    elif kind == records.IN_DOUBT:
+        recovered.in_doubt_until = max(recovered.in_doubt_until, fields[0])
     elif kind != records.HEAD:
-        found.passed_over += 1
+        recovered.unknown_records += 1
+
 
+def unfinished_executions(recovered: RecoveredLog) -> dict[bytes, tuple[bytes, str]]:
+    """Return the digest and request class of each execution from before the start with no known end.
 
-def settled(found):
-    """The runs from before the start of which no end is known: call -> (digest, workload)."""
-    calls = {}
-    for digest, (call, workload) in list(found.unsettled.items()):
-        row = found.index.get(digest)
+    Entries whose row is gone or ended are removed from `recovered.unfinished`.
+    """
+    executions = {}
+    for digest, (execution_id, request_class) in list(recovered.unfinished.items()):
+        row = recovered.index.get(digest)
         if row is not None and row.state == IN_DOUBT:
-            calls[call] = digest, workload
+            executions[execution_id] = digest, request_class
         else:
-            del found.unsettled[digest]
-    return calls
+            del recovered.unfinished[digest]
+    return executions
--- a/valeturn/result_store/snapshots.py
+++ b/valeturn/result_store/snapshots.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from . import compaction_policy, records, snapshot
-from .opening import check_of
+from .opening import key_check
 
 SHARDS_A_STEP = 32  # copied in one sweep: 2 MB of a million keys, under a millisecond
 RECORDS_A_STEP = 2000  # of a compacted segment looked at in one sweep: 3 ms
@@ -20,21 +20,21 @@
             for s in found.segments.values()
             if s.number not in kept.set_aside
         ]
-        head = snapshot.head(
+        head = snapshot.encode_head(
             snapshot.Snapshot(
                 self.position,
                 kept.sequence - (kept.flying is not None),
                 kept.clock.timestamp(),
                 segments,
-                found.unsettled,
-                found.unsure,
-                found.longest,
-                check_of(kept.key),
+                found.unfinished,
+                found.in_doubt_until,
+                found.longest_window,
+                key_check(kept.key),
                 None,
             )
         )
         kept.count("store.snapshots")
-        self.ask("snapshot_begin", head)
+        self.ask("begin_snapshot", head)
 
     def ask(self, what, *args):
         self.kept.helper.ask(("job", what, self), getattr(self.kept.journal, what), *args)
@@ -44,20 +44,20 @@
         kept, parts = self.kept, []
         shards = len(kept.index.shards)
         while self.next < shards and len(parts) < SHARDS_A_STEP:
-            data = kept.index.dump(self.next)
+            data = kept.index.dump_shard(self.next)
             if data is not None:
-                parts.append(snapshot.part(self.next, data))
+                parts.append(snapshot.encode_shard(self.next, data))
             self.next += 1
         self.parts += len(parts)
         if parts:
-            self.ask("snapshot_part", b"".join(parts))
+            self.ask("write_snapshot", b"".join(parts))
         if self.next == shards and not self.ended:
             self.ended = True
-            self.ask("snapshot_end", self.parts)
+            self.ask("end_snapshot", self.parts)
         return True
 
     def on_done(self, what, got):
-        if what == "snapshot_end":
+        if what == "end_snapshot":
             kept = self.kept
             kept.position, kept.covered = self.position, self.position[0]
             kept.snapshot_size, kept.job = self.size, None
@@ -74,7 +74,7 @@
         self.marks = None  # ids of what must be durable before the segment may go
         self.bad = False
         kept.count("store.compactions")
-        kept.helper.ask(("job", "segment", self), kept.journal.segment, number)
+        kept.helper.ask(("job", "segment", self), kept.journal.read_segment, number)
 
     def on_done(self, what, data):
         if what != "segment" or self.todo is not None:
@@ -83,9 +83,9 @@
         self.kept.count("store.compacted_bytes", len(data))
 
     def _read(self, data):
-        at = len(records.MAGIC)
-        while (frame := records.frame_at(data, at, self.number)) is not None:
-            for offset, _, record in records.decode(frame.payload):
+        at = len(records.LOG_MAGIC)
+        while (frame := records.read_frame(data, at, self.number)) is not None:
+            for offset, _, record in records.decode_records(frame.payload):
                 yield frame.offset + offset, record
             at = frame.end
         self.bad = at < len(data)  # the tail of a write that failed, or damage
@@ -129,7 +129,7 @@
 
     def _keep(self, offset, record):
         kept = self.kept
-        if not isinstance(record, (records.Intent, records.Result, records.Failed)):
+        if not isinstance(record, (records.IntentRecord, records.ResultRecord, records.FailedRecord)):
             return
         row, live = kept.index.get(record.digest), kept.live.get(record.digest)
         if row is None or (row.segment, row.offset) != (self.number, offset):
@@ -149,7 +149,7 @@
         }
         if kept.flying is not None:
             copied |= {one.record.digest for one in kept.flying[0] if hasattr(one.record, "digest")}
-        for row in kept.index.rows(shard):
+        for row in kept.index.shard_rows(shard):
             live = kept.live.get(row.digest)
             if row.segment == self.number and row.digest not in copied and not (live and live.queued):
                 kept.copy(row, None)
--- a/valeturn/result_store/store.py
+++ b/valeturn/result_store/store.py
@@ -12,14 +12,16 @@
 
 from . import compaction_policy, entry_states, records
 from .entry_states import ABSENT, EXECUTING, IN_DOUBT, INTENT_PENDING, STORED, LookupOutcome
-from .limits import INTENT, RECORD
+from .limits import INTENT_SIZE, MAX_RECORD_SIZE
 from .log import Log, Queued
-from .recovery import apply
-from .timing_wheel import Wheel
+from .recovery import apply_record
+from .timing_wheel import TimingWheel
 
 EXPIRED_A_SWEEP = 2000  # keys forgotten in one sweep at the most: 4 ms, ten times a second
 REBUILT_A_SWEEP = 4  # shards whose rows go to the wheel after a start: some thousand keys, 2 ms
-PROMISED = RECORD + INTENT  # bytes of log that one key takes at the most: an intent and the longest result
+PROMISED = (
+    MAX_RECORD_SIZE + INTENT_SIZE
+)  # bytes of log that one key takes at the most: an intent and the longest result
 
 
 class Live:
@@ -46,7 +48,7 @@
         """As `Log`."""
         super().__init__(options, bounds, files, helper, moment, longest, count, log)
         self.promised, self.news = set(), []  # ids of those let in
-        self.wheel, self.rebuilt = Wheel(self.clock.now()), 0
+        self.wheel, self.rebuilt = TimingWheel(self.clock.now()), 0
 
     # ---- keys and what they meet
 
@@ -84,7 +86,7 @@
                 usable=self.usable(),
                 waiting=self.waiting(),
                 max_waiting=b.waiting,
-                in_doubt_for=self.found.unsure - now,
+                in_doubt_for=self.found.in_doubt_until - now,
                 disk_retry_in=0.0
                 if self.health == compaction_policy.DiskHealth.HEALTHY
                 else max(0.01, self.retry_at - now),
@@ -147,16 +149,16 @@
         return None if known is None else known[1]
 
     def do_write_intent(self, live):
-        self.queue(records.Intent(live.digest, live.until, live.call, live.workload), live)
+        self.queue(records.IntentRecord(live.digest, live.until, live.call, live.workload), live)
 
     def do_write_result(self, live):
-        self.queue(records.result(live.digest, live.until, live.body), live)
+        self.queue(records.make_result(live.digest, live.until, live.body), live)
 
     def do_write_failed(self, live):
-        self.queue(records.Failed(live.digest, live.until), live)
+        self.queue(records.FailedRecord(live.digest, live.until), live)
 
     def do_write_unsent(self, live):
-        self.queue(records.Unsent(live.digest), live)
+        self.queue(records.UnsentRecord(live.digest), live)
 
     def do_send(self, live):
         self.news.append(("synced", live.number, None))
@@ -175,7 +177,7 @@
             self.news.append(("fetched", number, None))
         else:
             self.helper.ask(
-                ("fetched", number, meets.digest), self.journal.fetch, row.segment, row.offset, row.size
+                ("fetched", number, meets.digest), self.journal.read_record, row.segment, row.offset, row.size
             )
         return None
 
@@ -191,13 +193,15 @@
 
     def _durable(self, one, offset):
         record, live = one.record, one.live
-        apply(self.found, self.active, offset, len(one.data), records.KINDS[type(record)], record)
-        if isinstance(record, (records.Intent, records.Result, records.Failed)):
+        apply_record(
+            self.found, self.active, offset, len(one.data), records.KIND_OF_TYPE[type(record)], record
+        )
+        if isinstance(record, (records.IntentRecord, records.ResultRecord, records.FailedRecord)):
             self.wheel.add(record.digest, record.until)
         if live is None:
             return
         live.queued -= 1
-        if isinstance(record, records.Intent):
+        if isinstance(record, records.IntentRecord):
             if live.state == INTENT_PENDING and live.queued == 0:
                 self.move(live, entry_states.INTENT_DURABLE)
         if live.queued == 0 and live.state not in (INTENT_PENDING, EXECUTING):
@@ -212,14 +216,14 @@
         again = []
         for one in taken + self.pending:
             live = one.live
-            if isinstance(one.record, records.Intent) and live is not None:
+            if isinstance(one.record, records.IntentRecord) and live is not None:
                 live.queued -= 1
                 if live.state == INTENT_PENDING:
                     self.move(live, entry_states.INTENT_LOST)
                 if live.queued == 0 and live.state == ABSENT:
                     self.forget(live)
                     # It may be on the disk whole: said to be unsent once the disk takes writes again.
-                    again.append(Queued(records.Unsent(live.digest), None))
+                    again.append(Queued(records.UnsentRecord(live.digest), None))
             else:
                 again.append(one)
         self.pending, self.pending_bytes = again, sum(len(one.data) for one in again)
@@ -228,14 +232,14 @@
         if isinstance(got, OSError):
             self.failed("read", got)
             got = None
-        if isinstance(got, records.Result) and got.digest == what[2]:
+        if isinstance(got, records.ResultRecord) and got.digest == what[2]:
             self.news.append(("fetched", what[1], got.body))
             return
         live = self.live.get(what[2])
         row = self.index.get(what[2])
         if live is None and row is not None and row.state == STORED and got is not None:
             # Compaction moved it between the question and the reading.
-            self.helper.ask(what, self.journal.fetch, row.segment, row.offset, row.size)
+            self.helper.ask(what, self.journal.read_record, row.segment, row.offset, row.size)
             return
         self.count("store.unreadable")
         self.news.append(("fetched", what[1], None))
@@ -245,11 +249,11 @@
     def upkeep(self):
         """Ten times a second: forgets what is over, tries a disk that failed, goes on with the log's work."""
         now = self.clock.now()
-        for digest in self.wheel.due(now - compaction_policy.LATE_READ_GRACE, EXPIRED_A_SWEEP):
+        for digest in self.wheel.pop_due(now - compaction_policy.LATE_READ_GRACE, EXPIRED_A_SWEEP):
             self._expire(digest, now)
         for _ in range(REBUILT_A_SWEEP):
             if self.rebuilt < len(self.index.shards):
-                for row in self.index.rows(self.rebuilt):
+                for row in self.index.shard_rows(self.rebuilt):
                     self.wheel.add(row.digest, row.until)
                 self.rebuilt += 1
         self.work(now)
@@ -262,7 +266,7 @@
             self.wheel.add(digest, row.until)
         elif entry_states.transition(row.state, entry_states.WINDOW_ENDED) is not None:
             self.index.remove(digest)
-            self.found.unsettled.pop(digest, None)
+            self.found.unfinished.pop(digest, None)
             self.count("store.expired")
 
     def figures(self):
@@ -272,9 +276,9 @@
             "live": len(self.live),
             "log_mb": self.used() / 1e6,
             "segments": len(self.found.segments),
-            "index_mb": self.index.memory() / 1e6,
+            "index_mb": self.index.memory_bytes() / 1e6,
             "waiting": self.waiting(),
-            "unsettled": len(self.found.unsettled),
+            "unsettled": len(self.found.unfinished),
             "disk": self.health,
-            "unsure_s": max(0.0, self.found.unsure - self.clock.now()),
+            "unsure_s": max(0.0, self.found.in_doubt_until - self.clock.now()),
         }
--- a/valeturn/result_store/timing_wheel.py
+++ b/valeturn/result_store/timing_wheel.py
@@ -1,56 +1,73 @@
-"""Expiry: a timing wheel of two rings over whole seconds, holding digests side by side in bytearrays.
+"""Expiry by a hierarchical timing wheel of two levels over whole seconds.
 
-Lazy: an entry whose window grew is found again when its old second comes, and its row has the last word.
-Against a heap (`valeturn lab store`): adding costs no comparison and a key 16 bytes in place of a tuple's
-hundred.
+After G. Varghese and T. Lauck, "Hashed and Hierarchical Timing Wheels" (SOSP 1987). Slots are bytearrays with
+digests side by side. Expiry is lazy: an entry whose window was extended is found again when its old second
+comes, and its index row decides. Against a heap (`valeturn lab store` measures both) an insertion needs no
+comparison, and a key takes 16 bytes in place of about a hundred for a tuple.
 """
 
 from __future__ import annotations
 
-SPAN = 512  # s of the near ring, and of one place of the far one: two rings cover days with a thousand places
-DIGEST = 16
+from typing import Final
 
+# Seconds covered by the near level, and by one slot of the far level: two levels cover days with a thousand
+# slots.
+SLOT_SPAN: Final = 512
+DIGEST_SIZE: Final = 16  # bytes
+_SECOND_SIZE: Final = 8  # bytes of a second in a far slot
+_FAR_ITEM_SIZE: Final = _SECOND_SIZE + DIGEST_SIZE
 
-class Wheel:
-    def __init__(self, now):
-        self.near, self.far = {}, {}  # second -> digests; block of SPAN seconds -> (second, digest) pairs
-        self.edge = int(now) // SPAN + 1  # the first block that is still in the far ring
 
-    def add(self, digest, second):
-        if second // SPAN < self.edge:
+class TimingWheel:
+    """Digests by the second at which they are due."""
+
+    def __init__(self, now: float) -> None:
+        self.near: dict[int, bytearray] = {}  # second -> digests
+        self.far: dict[int, bytearray] = {}  # slot of SLOT_SPAN seconds -> pairs of second and digest
+        self.first_far_slot = int(now) // SLOT_SPAN + 1
+
+    def add(self, digest: bytes, second: int) -> None:
+        """Add a digest that is due at this second."""
+        if second // SLOT_SPAN < self.first_far_slot:
             self.near.setdefault(second, bytearray()).extend(digest)
         else:
-            self.far.setdefault(second // SPAN, bytearray()).extend(second.to_bytes(8, "little") + digest)
-
-    def _bring_near(self, now):
-        while self.edge <= int(now) // SPAN + 1:
-            block = self.far.pop(self.edge, b"")
-            self.edge += 1
-            for at in range(0, len(block), 8 + DIGEST):
-                self.add(bytes(block[at + 8 : at + 8 + DIGEST]), int.from_bytes(block[at : at + 8], "little"))
-            if not self.far and self.edge <= int(now) // SPAN:  # nothing further out: no need to walk there
-                self.edge = int(now) // SPAN + 1
-
-    def due(self, now, most):
-        """Up to `most` digests whose second is over, the earliest first; the rest stay for the next time."""
-        self._bring_near(now)
-        out = []
+            item = second.to_bytes(_SECOND_SIZE, "little") + digest
+            self.far.setdefault(second // SLOT_SPAN, bytearray()).extend(item)
+
+    def _cascade(self, now: float) -> None:
+        """Move the far slots that now lie near to the near level."""
+        while self.first_far_slot <= int(now) // SLOT_SPAN + 1:
+            slot = self.far.pop(self.first_far_slot, bytearray())
+            self.first_far_slot += 1
+            for offset in range(0, len(slot), _FAR_ITEM_SIZE):
+                digest_offset = offset + _SECOND_SIZE
+                second = int.from_bytes(slot[offset:digest_offset], "little")
+                self.add(bytes(slot[digest_offset : offset + _FAR_ITEM_SIZE]), second)
+            if not self.far and self.first_far_slot <= int(now) // SLOT_SPAN:
+                # Nothing is further out: there is no need to walk through the empty slots up to now.
+                self.first_far_slot = int(now) // SLOT_SPAN + 1
+
+    def pop_due(self, now: float, limit: int) -> list[bytes]:
+        """Remove and return up to `limit` digests whose second has passed, the earliest first."""
+        self._cascade(now)
+        digests: list[bytes] = []
         for second in sorted(second for second in self.near if second <= now):
-            block = self.near[second]
-            taken = min(len(block), (most - len(out)) * DIGEST)
-            out += [bytes(block[at : at + DIGEST]) for at in range(0, taken, DIGEST)]
-            if taken == len(block):
-                del self.near[second]
-            else:
-                del block[:taken]
+            slot = self.near[second]
+            taken = min(len(slot), (limit - len(digests)) * DIGEST_SIZE)
+            digests += [bytes(slot[offset : offset + DIGEST_SIZE]) for offset in range(0, taken, DIGEST_SIZE)]
+            if taken < len(slot):
+                del slot[:taken]
                 break
-        return out
+            del self.near[second]
+        return digests
 
-    def earliest(self):
-        """A second before which nothing ends, or None while nothing is held."""
+    def earliest(self) -> int | None:
+        """Return a second before which nothing is due, or None while the wheel is empty."""
         if self.near:
             return min(self.near)
-        return min(self.far) * SPAN if self.far else None
+        return min(self.far) * SLOT_SPAN if self.far else None
 
-    def __len__(self):
-        return sum(map(len, self.near.values())) // DIGEST + sum(map(len, self.far.values())) // (8 + DIGEST)
+    def __len__(self) -> int:
+        near = sum(map(len, self.near.values())) // DIGEST_SIZE
+        far = sum(map(len, self.far.values())) // _FAR_ITEM_SIZE
+        return near + far
--- a/valeturn/server/components/result_store.py
+++ b/valeturn/server/components/result_store.py
@@ -4,8 +4,8 @@
 
 from ...dispatch.messages import DiskNews
 from ...result_store import limits, window_clock
-from ...result_store.directory import Files
-from ...result_store.recovery import Refused
+from ...result_store.directory import StoreDirectory
+from ...result_store.errors import StoreRefusedError
 from ...result_store.store import Kept
 from ...transport.streams import Stream
 from ...transport.worker_thread import Helper
@@ -18,9 +18,9 @@
 class Part(Base):
     def __init__(self, server, built):
         super().__init__(server, built)
-        files, names = server.seams.files or Files(built.folder), server.configuration.names
+        files, names = server.seams.files or StoreDirectory(built.folder), server.configuration.names
         boot_id = window_clock.read_boot_id()
-        derived = limits.derive(built.disk, built.memory, built.segment)
+        derived = limits.derive_limits(built.disk, built.memory, built.segment)
         longest = max([w.window for w in names.settings.workloads], default=0.0) + 2 * names.settings.tick
         try:
             if not files.prepare():
@@ -35,9 +35,9 @@
                 server.counters.add,
                 server.log,
             )
-        except (Refused, OSError) as error:
+        except (StoreRefusedError, OSError) as error:
             raise Wrong(f"store: {built.folder}: {error}") from None
-        server.log("store_opened", {**self.kept.figures(), "records_read": self.kept.found.records})
+        server.log("store_opened", {**self.kept.figures(), "records_read": self.kept.found.record_count})
 
     def start(self):
         self.server.scheduler.spawn(self.hear_the_disk, name="disk")
