--- a/tests/disk.py
+++ b/tests/disk.py
@@ -5,7 +5,8 @@
 import random
 
 from valeturn.result_store import limits, window_clock
-from valeturn.result_store.store import Kept
+from valeturn.result_store.environment import StoreEnvironment, StoreSettings
+from valeturn.result_store.store import ResultStore
 from valeturn.transport.worker_thread import Inline
 
 
@@ -163,16 +164,14 @@
         self.files = Files(self.disk)
         assert self.files.prepare()
         self.logged = []
-        self.kept = Kept(
-            self,
-            self.limits,
+        environment = StoreEnvironment(
             self.files,
             Inline(held),
             self.moment,
-            self.longest,
             self.count,
             lambda event, fields=None, fault=None: self.logged.append((event, fields)),
         )
+        self.kept = ResultStore(environment, StoreSettings(self.limits, self.retry, self.longest))
         if not held:
             self.kept.collect()
         return self.kept
@@ -188,37 +187,37 @@
 
     def begin(self, key, number, window=30.0):
         """How a newcomer fares: what it meets, or `refused`, or `started` once its intent is durable."""
-        digest = self.kept.digest("book", key)
-        meets = self.kept.meets(digest, 0.0)
-        if meets.how != "execute":
-            return meets.how
-        if self.kept.room_in():
+        digest = self.kept.key_digest("book", key)
+        meets = self.kept.look_up(digest, 0.0)
+        if meets.outcome != "execute":
+            return meets.outcome
+        if self.kept.retry_after():
             return "refused"
-        self.kept.note(number, digest, window, number.to_bytes(8, "big"), "book")
+        self.kept.log_intent(number, digest, window, number.to_bytes(8, "big"), "book")
         self.kept.flush()
         news = self.kept.collect()
-        return "started" if ("synced", number, None) in news else "refused"
+        return "started" if ("intent_durable", number, None) in news else "refused"
 
     def finish(self, key, number, given, body=None):
-        self.kept.over(number, self.kept.digest("book", key), given, body)
+        self.kept.end_execution(number, self.kept.key_digest("book", key), given, body)
         self.kept.flush()
         return self.kept.collect()
 
     def ask(self, key):
         """(what a repeat meets, the result where there is one)"""
-        meets = self.kept.meets(self.kept.digest("book", key), 0.0)
-        if meets.how != "answer":
-            return meets.how, None
-        body = self.kept.fetch(99, meets)
+        meets = self.kept.look_up(self.kept.key_digest("book", key), 0.0)
+        if meets.outcome != "answer":
+            return meets.outcome, None
+        body = self.kept.fetch_result(99, meets)
         if body is None:
-            news = [news for news in self.kept.collect() if news[0] == "fetched"]
+            news = [news for news in self.kept.collect() if news[0] == "result_read"]
             body = news[0][2] if news else None
         return "answer", body
 
     def tend(self, sweeps=200, seconds=0.1):
         for _ in range(sweeps):
             self.pass_time(seconds)
-            self.kept.upkeep()
+            self.kept.maintain()
             self.kept.collect()
 
     def kept_run(self, key, number, body=b"r", window=30.0):
--- a/tests/result_store/test_keyed_results.py
+++ b/tests/result_store/test_keyed_results.py
@@ -45,7 +45,7 @@
 
     def disk(self, steps=None):
         """The helper does so many jobs, and the owner hears of them."""
-        self.kept.helper.step(steps)
+        self.kept.worker.step(steps)
         self.ends.turn(msg.DiskNews())
 
     def commands(self, kind="EXEC"):
@@ -91,14 +91,14 @@
     world.disk()
     _, call = world.arrive()
     if at == "between intent and start":
-        world.kept.helper.step()
+        world.kept.worker.step()
     elif at != "before the intent":
         world.disk()
         assert world.commands() == [call]
         if at != "between start and end":
             world.ends.turn(over(call))
             if at == "between result and answer":
-                world.kept.helper.step()  # durable; take the answer as one that a broken connection lost
+                world.kept.worker.step()  # durable; take the answer as one that a broken connection lost
     world.restart()
     caller = Caller()
     number, again = world.arrive(caller=caller, do=None if answered == "runs" else [it.AnswerFrom])
@@ -151,7 +151,7 @@
     assert codes(late) == [TURNED_BACK] and 0.9 <= late.retry_in <= 1.0, "the disk rests for a second"
     for _ in range(20):  # the disk takes writes again
         world.machine.pass_time(0.1)
-        world.kept.upkeep()
+        world.kept.maintain()
         world.disk()
     _, call = world.arrive(caller=Caller())
     world.disk()
@@ -190,7 +190,7 @@
     world.disk()
     world.ends.turn()
     assert world.commands() == [], "durable at last, and nobody waits for it"
-    world.kept.helper.held = False
+    world.kept.worker.held = False
     world.disk()
     assert world.kept.close(1.0)
     world.restart()
@@ -237,7 +237,7 @@
     world.arrive(caller=caller, do=[it.AnswerFrom])
     world.disk()
     assert codes(caller) == [WRITTEN_OFF]
-    world.kept.helper.held = True  # a disk that hangs
+    world.kept.worker.held = True  # a disk that hangs
     caller = Caller()
     number, _ = world.arrive(caller=caller, do=[it.AnswerFrom])
     world.ends.turn(msg.Told(it.Woken(0, None)), do=[it.WriteOff(number)])
@@ -258,8 +258,8 @@
     world.disk()
     assert world.commands() == [sent] and world.commands("KILL") == [sent]
     world.restart()
-    assert world.kept.meets(world.kept.digest("book", "sent"), 0.0).how == "fail"
-    assert world.kept.meets(world.kept.digest("book", "on its way"), 0.0).how == "execute"
+    assert world.kept.look_up(world.kept.key_digest("book", "sent"), 0.0).outcome == "fail"
+    assert world.kept.look_up(world.kept.key_digest("book", "on its way"), 0.0).outcome == "execute"
 
 
 def test_without_a_store_a_full_table_of_repeats_turns_back_instead_of_running_unmarked():
@@ -300,7 +300,7 @@
             ends.turn(lines.Gauged(REPLAY_END, ()))
         if step % 5 == 0:
             ends.turn(msg.Told(it.Woken(0, it.Gauges())))
-            world.kept.upkeep()
+            world.kept.maintain()
         for line in ends.lines[seen:]:
             if line["t"] == "EXEC":
                 mark = streams[line["rid"]][1]
@@ -321,5 +321,5 @@
             assert len(caller.answers) <= 1
             for _, code, body in caller.answers:
                 assert code != DELIVERED or body == results[mark]
-    assert len(effects) > 30 and world.machine.counts.get("store.no_move", 0) == 0
+    assert len(effects) > 30 and world.machine.counts.get("store.invalid_transitions", 0) == 0
     assert not world.ends.counts.get("errors.core")
--- a/tests/result_store/test_result_store.py
+++ b/tests/result_store/test_result_store.py
@@ -5,13 +5,25 @@
 import pytest
 from disk import Machine, seeded
 
-from valeturn.result_store import compaction_policy, entry_states, records, recovery, snapshot
+from valeturn.result_store import (
+    commands,
+    compaction_policy,
+    entry_states,
+    records,
+    recovery,
+    snapshot,
+    window_clock,
+)
+from valeturn.result_store.directory import StoreDirectory
 from valeturn.result_store.entry_states import ENDED_WITHOUT_RESULT, IN_DOUBT, NEVER_STARTED, SUCCEEDED
+from valeturn.result_store.environment import StoreEnvironment, StoreSettings
 from valeturn.result_store.errors import StoreRefusedError
 from valeturn.result_store.index import Index
+from valeturn.result_store.log_jobs import CompactionJob
 from valeturn.result_store.opening import open_store
-from valeturn.result_store.snapshots import Compaction
+from valeturn.result_store.store import ResultStore
 from valeturn.result_store.timing_wheel import TimingWheel
+from valeturn.transport.worker_thread import Inline
 
 EIO, FULL = errno.EIO, errno.ENOSPC
 
@@ -106,11 +118,13 @@
         machine.begin(key, number)
     machine.kill()
     kept = machine.start()
-    assert kept.unsettled((1).to_bytes(8, "big")) == "book" and kept.unsettled(b"another.") is None
-    assert kept.told((1).to_bytes(8, "big"), SUCCEEDED, b"late") and kept.told(
+    assert (
+        kept.unfinished_class((1).to_bytes(8, "big")) == "book" and kept.unfinished_class(b"another.") is None
+    )
+    assert kept.end_unfinished((1).to_bytes(8, "big"), SUCCEEDED, b"late") and kept.end_unfinished(
         (2).to_bytes(8, "big"), ENDED_WITHOUT_RESULT
     )
-    assert kept.told((3).to_bytes(8, "big"), NEVER_STARTED) and not kept.told(
+    assert kept.end_unfinished((3).to_bytes(8, "big"), NEVER_STARTED) and not kept.end_unfinished(
         (3).to_bytes(8, "big"), NEVER_STARTED
     )
     assert machine.ask("done") == ("answer", b"late"), "answered before it is on the disk"
@@ -124,25 +138,25 @@
 
 def test_a_start_is_asked_for_only_once_its_intent_is_durable(machine):
     kept = machine.start(held=True)
-    kept.helper.step()
+    kept.worker.step()
     kept.collect()
-    kept.note(1, kept.digest("book", "a"), 30.0, bytes(8), "book")
+    kept.log_intent(1, kept.key_digest("book", "a"), 30.0, bytes(8), "book")
     kept.flush()
     assert kept.collect() == [] and machine.ask("a")[0] == "coalesce"
-    kept.helper.step()
+    kept.worker.step()
     synced = {
         name: machine.disk.synced[key] == len(machine.disk.data[key])
         for name, key in machine.disk.now_names.items()
         if name.endswith(".log")
     }
-    assert kept.collect() == [("synced", 1, None)] and all(synced.values())
+    assert kept.collect() == [("intent_durable", 1, None)] and all(synced.values())
 
 
 def test_one_write_and_one_sync_for_all_starts_of_a_turn(machine):
     kept = machine.start()
     before = machine.files.counts.get("sync", 0)
     for number in range(1, 41):
-        kept.note(number, kept.digest("book", str(number)), 30.0, number.to_bytes(8, "big"), "book")
+        kept.log_intent(number, kept.key_digest("book", str(number)), 30.0, number.to_bytes(8, "big"), "book")
     kept.flush()
     assert len(kept.collect()) == 40 and machine.files.counts["sync"] == before + 1
 
@@ -175,11 +189,13 @@
         other.disk.next = 2
         other.start()
         assert other.ask("first") == ("answer", b"one") and other.ask("second")[0] == "execute", cut
-        assert ("store_torn" in events(other)) == (cut > whole) and "store_damage" not in events(other)
+        assert ("store_torn_tail_cut" in events(other)) == (
+            cut > whole
+        ) and "store_damage_found" not in events(other)
         other.kept_run("second", 3, b"two")
         other.kill()
         other.start()
-        assert other.ask("second") == ("answer", b"two") and "store_damage" not in events(other)
+        assert other.ask("second") == ("answer", b"two") and "store_damage_found" not in events(other)
 
 
 def key_of(machine):
@@ -200,17 +216,19 @@
         kept, roll = machine.kept, chance.random()
         if roll < 0.35:
             key = f"k{chance.randrange(40)}"
-            meets = kept.meets(kept.digest("book", key), 0.0)
+            meets = kept.look_up(kept.key_digest("book", key), 0.0)
             ran = sent.get(key, 0.0) > now
-            if meets.how == "execute":
+            if meets.outcome == "execute":
                 assert not ran, f"step {step}: {key} would run again"
-                if not kept.room_in():
+                if not kept.retry_after():
                     number += 1
                     lasting = chance.choice((3.0, 30.0))
                     open_notes[number] = key, now + lasting
-                    kept.note(number, kept.digest("book", key), lasting, number.to_bytes(8, "big"), "book")
-            elif meets.how == "answer":
-                body = kept.fetch(1_000_000 + step, meets)
+                    kept.log_intent(
+                        number, kept.key_digest("book", key), lasting, number.to_bytes(8, "big"), "book"
+                    )
+            elif meets.outcome == "answer":
+                body = kept.fetch_result(1_000_000 + step, meets)
                 assert body is None or body == results.get(key), (key, body, results.get(key))
                 open_notes[1_000_000 + step] = key, 0.0
         elif roll < 0.45 and running:
@@ -224,12 +242,14 @@
                 given == SUCCEEDED and newest[key] == number_of
             ):  # one whose window ended while it ran is nobody's
                 results[key] = body
-            kept.over(number_of, kept.digest("book", key), given, body if given == SUCCEEDED else None)
+            kept.end_execution(
+                number_of, kept.key_digest("book", key), given, body if given == SUCCEEDED else None
+            )
         elif roll < 0.5 and open_notes:
             number_of = chance.choice(sorted(open_notes))
             if number_of < 1_000_000:
                 key, _ = open_notes.pop(number_of)
-                kept.over(number_of, kept.digest("book", key), NEVER_STARTED)
+                kept.end_execution(number_of, kept.key_digest("book", key), NEVER_STARTED)
         elif roll < 0.51:
             machine.files.fail[chance.choice(("write", "sync", "create", "sync_folder", "rename"))] = (
                 chance.randrange(1, 3),
@@ -245,22 +265,22 @@
             open_notes, running = {}, {}
             machine.start(held=True)
         elif roll < 0.75:
-            kept.helper.step(chance.randrange(1, 4))
+            kept.worker.step(chance.randrange(1, 4))
         elif roll < 0.85:
-            kept.upkeep()
+            kept.maintain()
         if chance.random() < 0.3:
             machine.pass_time(0.25)
             now += 0.25
         kept = machine.kept
         for kind, of, body in kept.collect():
             key, until = open_notes.pop(of, (None, 0.0))
-            if kind == "synced" and key is not None:
+            if kind == "intent_durable" and key is not None:
                 assert sent.get(key, 0.0) <= now, f"step {step}: {key} ran twice"
                 sent[key], running[of], newest[key] = until, key, of
-            elif kind == "fetched" and body is not None and key is not None:
+            elif kind == "result_read" and body is not None and key is not None:
                 assert body == results[key]
         kept.flush()
-    assert len(sent) > 3 and machine.counts.get("store.no_move", 0) == 0
+    assert len(sent) > 3 and machine.counts.get("store.invalid_transitions", 0) == 0
 
 
 # ---- trouble with the disk
@@ -276,18 +296,18 @@
         machine.begin("new", 3) == "refused"
         and machine.kept.health == compaction_policy.DiskHealth.BACKING_OFF
     )
-    assert machine.kept.room_in() > 0 and machine.begin("other", 4) == "refused"
+    assert machine.kept.retry_after() > 0 and machine.begin("other", 4) == "refused"
     assert machine.ask("old") == ("answer", b"kept"), "reads go on"
     machine.finish("running", 2, SUCCEEDED, b"late")
     assert machine.ask("running") == ("answer", b"late")
     machine.tend(15)  # past the rest: a new segment, and what waited is written to it
-    assert machine.kept.health == compaction_policy.DiskHealth.HEALTHY and "store_disk_well" in events(
+    assert machine.kept.health == compaction_policy.DiskHealth.HEALTHY and "store_disk_recovered" in events(
         machine
     )
     machine.kept_run("new", 5, b"now")
     machine.kill()
     machine.start()
-    assert "store_damage" not in events(machine), "what the failed write left is no damage"
+    assert "store_damage_found" not in events(machine), "what the failed write left is no damage"
     asked = [machine.ask(key) for key in ("old", "running", "new", "other")]
     assert asked == [("answer", b"kept"), ("answer", b"late"), ("answer", b"now"), ("execute", None)]
 
@@ -307,16 +327,16 @@
 
 def test_results_that_outrun_the_disk_are_given_up_within_a_bound(machine):
     kept = machine.start(held=True)
-    kept.helper.step()
+    kept.worker.step()
     kept.collect()
     for number in range(1, 61):
-        kept.note(number, kept.digest("book", str(number)), 30.0, number.to_bytes(8, "big"), "book")
+        kept.log_intent(number, kept.key_digest("book", str(number)), 30.0, number.to_bytes(8, "big"), "book")
     kept.flush()
-    kept.helper.step()
+    kept.worker.step()
     assert len(kept.collect()) == 60
-    kept.bounds = kept.bounds._replace(waiting=65_536)
+    kept.limits = kept.limits._replace(waiting=65_536)
     for number in range(1, 61):
-        kept.over(number, kept.digest("book", str(number)), SUCCEEDED, bytes(4096))
+        kept.end_execution(number, kept.key_digest("book", str(number)), SUCCEEDED, bytes(4096))
     assert kept.waiting() < 65_536 + 5000 and machine.counts["store.results_lost"] > 20
     assert machine.ask("60") == ("fail", None), "known to have run, its result is not there"
 
@@ -365,7 +385,7 @@
     data += records.encode_frame(1, sequence, news)
     machine.kill()
     machine.start()
-    assert machine.kept.found.unknown_records == 1 and machine.ask("a")[0] == "answer"
+    assert machine.kept.recovered.unknown_records == 1 and machine.ask("a")[0] == "answer"
 
 
 # ---- damage
@@ -384,11 +404,11 @@
 
 def test_damage_in_the_middle_leaves_the_rest_and_doubts_what_it_can_t_tell(machine):
     damaged_in_the_middle(machine).start()
-    assert {"store_damage", "store_unsure"} <= set(events(machine))
+    assert {"store_damage_found", "store_keys_in_doubt"} <= set(events(machine))
     assert machine.ask("k3") == ("answer", b"body 3") and machine.ask("k5") == ("answer", b"body 5")
     assert machine.ask("k4") == ("fail", None), "its intent is whole, its result is lost"
     assert machine.begin("new", 20) == "refused", "it may have run in what was lost"
-    assert 25 < machine.kept.room_in() <= 30
+    assert 25 < machine.kept.retry_after() <= 30
     machine.tend(30)  # the snapshot stands, and the segment is set aside
     assert any(name.endswith(".damaged") for name in machine.files.names())
     machine.kill()
@@ -407,7 +427,7 @@
     data[-1] ^= 0xFF  # all its bytes are there: a killed process does not leave this
     machine.kill()
     machine.start()
-    assert "store_damage" in events(machine) and machine.begin("b", 3) == "refused"
+    assert "store_damage_found" in events(machine) and machine.begin("b", 3) == "refused"
 
 
 def test_a_segment_that_is_gone_is_damage(machine):
@@ -420,7 +440,7 @@
     assert len(names) > 4
     del machine.disk.now_names[names[2]]
     machine.start()
-    assert "store_damage" in events(machine) and machine.begin("new", 99) == "refused"
+    assert "store_damage_found" in events(machine) and machine.begin("new", 99) == "refused"
     assert machine.ask("k29")[0] == "answer"
 
 
@@ -448,7 +468,9 @@
     machine.kill()
     kept = machine.start()
     assert (
-        kept.found.record_count < 60 and same_answers(machine) and machine.ask("after") == ("answer", b"it")
+        kept.recovered.record_count < 60
+        and same_answers(machine)
+        and machine.ask("after") == ("answer", b"it")
     )
 
 
@@ -463,8 +485,8 @@
         machine.kill()
         machine.disk.data[machine.disk.now_names["snapshot"]][:] = spoilt
         machine.start()
-        assert same_answers(machine, 120) and "store_damage" not in events(machine)
-        assert ("store_snapshot_unusable" in events(machine)) == (spoilt != old)
+        assert same_answers(machine, 120) and "store_damage_found" not in events(machine)
+        assert ("store_snapshot_rejected" in events(machine)) == (spoilt != old)
 
 
 def test_a_snapshot_newer_than_its_log_is_damage():
@@ -474,18 +496,18 @@
     place = max(name for name in machine.disk.now_names if name.endswith(".log"))
     del machine.disk.data[machine.disk.now_names[place]][20:]
     machine.start()
-    assert "store_snapshot_newer" in events(machine) and machine.begin("new", 200) == "refused"
+    assert "store_snapshot_ahead_of_log" in events(machine) and machine.begin("new", 200) == "refused"
 
 
 def test_segments_whose_windows_are_over_go_and_their_keys_with_them():
     machine = filled(window=10.0)
     machine.pass_time(20)
     machine.tend(100)
-    assert machine.kept.index.count == 0 and machine.counts["store.expired"] == 60
+    assert machine.kept.index.count == 0 and machine.counts["store.keys_expired"] == 60
     assert len(log_files(machine)) <= 2 and machine.counts["store.segments_dropped"] >= 1
     machine.kill()
     machine.start()
-    assert machine.ask("k1")[0] == "execute" and "store_damage" not in events(machine)
+    assert machine.ask("k1")[0] == "execute" and "store_damage_found" not in events(machine)
 
 
 def test_compaction_keeps_what_is_in_its_window_and_is_cut_at_every_step_without_loss():
@@ -509,7 +531,7 @@
                 if left[0] < 0:
                     raise Killed
 
-        machine.kept.upkeep()
+        machine.kept.maintain()
         machine.files.before = before
         whole = False
         try:
@@ -520,7 +542,7 @@
             pass
         machine.kill()
         machine.start()
-        assert "store_damage" not in events(machine), point
+        assert "store_damage_found" not in events(machine), point
         for number in range(1, 61):
             expected = ("answer", b"body %d" % number) if number % 3 else ("execute", None)
             assert machine.ask(f"k{number}") == expected, (point, number)
@@ -548,7 +570,7 @@
         assert (
             sum(len(machine.disk.data[key]) for key in machine.disk.now_names.values()) <= machine.limits.disk
         )
-    assert 5 < machine.kept.room_in() < 70 and more < 8
+    assert 5 < machine.kept.retry_after() < 70 and more < 8
     machine.kill()
     machine.start()
     assert all(machine.ask(f"k{n}") == ("answer", bytes(4000)) for n in range(number))
@@ -563,24 +585,24 @@
     machine.start()
     for number in range(1, 51):
         machine.kept_run(f"k{number}", number)
-    assert machine.begin("more", 51) == "refused" and machine.kept.room_in() > 20
+    assert machine.begin("more", 51) == "refused" and machine.kept.retry_after() > 20
 
 
 def test_a_segment_stays_until_its_copies_are_durable():
     machine = filled()
     machine.tend(40)
-    number = min(machine.kept.found.segments)
-    held = machine.kept.helper
-    machine.kept.job = job = Compaction(machine.kept, number)
+    number = min(machine.kept.recovered.segments)
+    held = machine.kept.worker
+    machine.kept.job = job = CompactionJob(machine.kept, number)
     machine.kept.collect()
     held.held = True  # a disk that hangs with the copies on their way
     for _ in range(50):
-        machine.kept.upkeep()
+        machine.kept.maintain()
         machine.kept.collect()
-    assert job.copied and machine.kept.job is job and number in machine.kept.found.segments
+    assert job.copied and machine.kept.job is job and number in machine.kept.recovered.segments
     machine.disk.crash()
     machine.start()
-    assert same_answers(machine) and "store_damage" not in events(machine)
+    assert same_answers(machine) and "store_damage_found" not in events(machine)
 
 
 def test_a_frame_that_is_cut_out_whole_is_damage(machine):
@@ -595,7 +617,7 @@
     del data[frames[4][0] : frames[4][1]]
     machine.kill()
     machine.start()
-    assert "store_damage" in events(machine) and machine.begin("new", 9) == "refused"
+    assert "store_damage_found" in events(machine) and machine.begin("new", 9) == "refused"
 
 
 def test_a_snapshot_without_one_of_its_shards_is_not_used():
@@ -608,7 +630,7 @@
     _, length, _ = snapshot.SHARD_HEADER.unpack_from(data, at)
     del data[at : at + snapshot.SHARD_HEADER.size + length]
     machine.start()
-    assert "store_snapshot_unusable" in events(machine) and same_answers(machine)
+    assert "store_snapshot_rejected" in events(machine) and same_answers(machine)
 
 
 def plain_upkeep(v):
@@ -804,28 +826,17 @@
     for number in range(1, 21):
         how, body = machine.ask(f"k{number}")
         assert body in (None, b"body %d" % number)
-        assert how != "execute" or machine.kept.room_in() > 0, "forgotten, and told so by nobody"
+        assert how != "execute" or machine.kept.retry_after() > 0, "forgotten, and told so by nobody"
 
 
 def test_damage_is_found_by_a_scan_and_named_by_verify(tmp_path):
-    from valeturn.result_store import commands, window_clock
-    from valeturn.result_store.directory import StoreDirectory
-    from valeturn.result_store.store import Kept
-    from valeturn.transport.worker_thread import Inline
-
     machine, files = Machine(), StoreDirectory(str(tmp_path))
     machine.limits = machine.limits._replace(segment=2000)
     assert files.prepare() and not StoreDirectory(str(tmp_path)).prepare()
-    kept = machine.kept = Kept(
-        machine,
-        machine.limits,
-        files,
-        Inline(),
-        lambda: window_clock.read_clocks("b"),
-        30.0,
-        machine.count,
-        lambda *_: None,
+    environment = StoreEnvironment(
+        files, Inline(), lambda: window_clock.read_clocks("b"), machine.count, lambda *_: None
     )
+    kept = machine.kept = ResultStore(environment, StoreSettings(machine.limits, machine.retry, 30.0))
     kept.collect()
     for number in range(1, 30):
         machine.kept_run(f"k{number}", number, b"body %d" % number)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -29,10 +29,11 @@
 from valeturn.result_store import commands as store_commands
 from valeturn.result_store import entry_states, records, snapshot
 from valeturn.result_store.directory import StoreDirectory as Files
+from valeturn.result_store.environment import StoreEnvironment, StoreSettings
 from valeturn.result_store.index import Index
 from valeturn.result_store.limits import StoreLimits
 from valeturn.result_store.opening import open_store
-from valeturn.result_store.store import Kept as KeptResults
+from valeturn.result_store.store import ResultStore
 from valeturn.result_store.window_clock import ClockReading as Moment
 from valeturn.result_store.window_clock import StoreTimestamp as Stamp
 from valeturn.server.components import control as control_part
@@ -479,13 +480,15 @@
         self.files = Files(str(folder))
         assert self.files.prepare()
         limits = StoreLimits(1_000_000, 1500, 1024, 65536)
-        self.kept = KeptResults(self, limits, self.files, Inline(), self.moment, 3600.0, ignore, self.log)
+        environment = StoreEnvironment(self.files, Inline(), self.moment, ignore, self.log)
+        self.kept = ResultStore(environment, StoreSettings(limits, self.retry, 3600.0))
         self.kept.collect()
 
     def moment(self) -> Moment:
         return Moment(self.wall, self.boot, self.boot_id)
 
     def log(self, event: str, fields: dict[str, Any] | None = None, **named: Any) -> None:
+        event = {"store_torn_tail_cut": "store_torn"}.get(event, event)
         self.logged.append([event, plain(fields or {})])
 
     def pass_time(self, seconds: float) -> None:
@@ -493,13 +496,13 @@
         self.boot += seconds
 
     def begin(self, mark: str, number: int, window: float = 86_400.0) -> None:
-        digest = self.kept.digest("book", mark)
-        self.kept.note(number, digest, window, number.to_bytes(8, "big"), "book")
+        digest = self.kept.key_digest("book", mark)
+        self.kept.log_intent(number, digest, window, number.to_bytes(8, "big"), "book")
         self.kept.flush()
-        assert self.kept.collect() == [("synced", number, None)]
+        assert self.kept.collect() == [("intent_durable", number, None)]
 
     def end(self, mark: str, number: int, given: int, body: bytes | None = None) -> None:
-        self.kept.over(number, self.kept.digest("book", mark), given, body)
+        self.kept.end_execution(number, self.kept.key_digest("book", mark), given, body)
         self.kept.flush()
         self.kept.collect()
 
@@ -507,19 +510,19 @@
         """What is done in the background: a snapshot, among others."""
         for _ in range(sweeps):
             self.pass_time(0.125)
-            self.kept.upkeep()
+            self.kept.maintain()
             self.kept.collect()
 
     def meets(self, mark: str) -> list[Any]:
         """What a repeat meets, and the result where there is one."""
-        found = self.kept.meets(self.kept.digest("book", mark), 0.0)
-        how = {"execute": "run", "coalesce": "join", "fail": "write_off"}.get(found.how, str(found.how))
+        found = self.kept.look_up(self.kept.key_digest("book", mark), 0.0)
+        how = {"execute": "run", "coalesce": "join", "fail": "write_off"}.get(found.outcome, str(found.outcome))
         if how != "answer":
             return [how, None]
-        body = self.kept.fetch(99, found)
+        body = self.kept.fetch_result(99, found)
         if body is None:
             ((what, number, body),) = self.kept.collect()
-            assert (what, number) == ("fetched", 99)
+            assert (what, number) == ("result_read", 99)
         return [how, plain(body)]
 
 
@@ -548,7 +551,7 @@
     machine.begin("running at the end", 20)
     machine.files.release()
     machine = Machine(folder, REBOOTED)
-    assert machine.kept.told((18).to_bytes(8, "big"), entry_states.SUCCEEDED, b"late")
+    assert machine.kept.end_unfinished((18).to_bytes(8, "big"), entry_states.SUCCEEDED, b"late")
     machine.kept.flush()
     machine.kept.collect()
     machine.begin("last", 21)
@@ -588,7 +591,7 @@
 @pytest.mark.parametrize("name", sorted(STORE))
 def test_store_of_earlier_version_answers_repeats_the_same(name: str, tmp_path: pathlib.Path) -> None:
     machine = Machine(copied(name, tmp_path), READ)
-    digests = {mark: machine.kept.digest("book", mark).hex() for mark in STORE[name]["digests"]}
+    digests = {mark: machine.kept.key_digest("book", mark).hex() for mark in STORE[name]["digests"]}
     assert digests == STORE[name]["digests"]
     found = {mark: machine.meets(mark) for mark in STORE[name]["repeats"]}
     assert found == STORE[name]["repeats"]
--- a/valeturn/dispatch/deduplication.py
+++ b/valeturn/dispatch/deduplication.py
@@ -59,17 +59,17 @@
             return repeats, 0.0
         if self.kept is None:
             return repeats, 0.0 if repeats is not None else self.table.room_in(now, len(self.batch))
-        sub.digest = self.kept.digest(sub.workload, sub.key[1])
+        sub.digest = self.kept.key_digest(sub.workload, sub.key[1])
         if repeats is not None:
             return repeats, 0.0
-        meets = self.kept.meets(sub.digest, waited)
-        if meets.how == "execute":
-            room_in = self.kept.room_in()
+        meets = self.kept.look_up(sub.digest, waited)
+        if meets.outcome == "execute":
+            room_in = self.kept.retry_after()
             if not room_in:
-                self.kept.promise(sub.number)
+                self.kept.reserve(sub.number)
             return None, room_in
-        if meets.how == "coalesce" and meets.live.number in self.core.open:
-            return meets.live.number, 0.0
+        if meets.outcome == "coalesce" and meets.entry.request_id in self.core.open:
+            return meets.entry.request_id, 0.0
         self.core.count("store.repeats")
         sub.meets = meets
         return IN_STORE, 0.0
@@ -100,10 +100,10 @@
     def answer_from_store(self, sub):
         """A result that is not at hand is read beside the loop and comes as news; no result is told at
         once."""
-        if sub.meets.how != "answer":
+        if sub.meets.outcome != "answer":
             self.end_joined(sub, None)
             return
-        body = self.kept.fetch(sub.number, sub.meets)
+        body = self.kept.fetch_result(sub.number, sub.meets)
         if body is not None:
             self.core.count("store.answered")
             self.end_joined(sub, body)
@@ -116,7 +116,7 @@
         if self.kept is not None and sub.noted:
             sub.noted = False
             given = self.DONE if result is not None else self.ENDED
-            self.kept.over(sub.number, sub.digest, given, result)
+            self.kept.end_execution(sub.number, sub.digest, given, result)
             self.table.remove(sub.number)  # the store knows it from here on
         for number in self.joiners.pop(sub.number, ()):
             self.end_joined(self.core.open.get(number), result)
@@ -141,14 +141,14 @@
         if self.kept is None or sub.digest is None or sub.noted:
             return False
         lasting = max(0.0, sub.lasting_to - self.core.scheduler.clock())
-        self.kept.note(sub.number, sub.digest, lasting, bytes.fromhex(sub.call), sub.workload)
+        self.kept.log_intent(sub.number, sub.digest, lasting, bytes.fromhex(sub.call), sub.workload)
         return True
 
     def never_began(self, sub):
         """Proved: a repeat of it may run."""
         if self.kept is not None and sub.digest is not None:
             sub.noted = False
-            self.kept.over(sub.number, sub.digest, self.UNBEGUN)
+            self.kept.end_execution(sub.number, sub.digest, self.UNBEGUN)
             self.table.remove(sub.number)
 
     def dropped(self, sub):
@@ -159,13 +159,13 @@
                 self.never_began(sub)
             if sub.noted:
                 sub.noted = False
-                self.kept.over(sub.number, sub.digest, self.ENDED)
+                self.kept.end_execution(sub.number, sub.digest, self.ENDED)
 
     def on_disk_news(self, now, m):
         for kind, number, body in self.kept.collect():
-            if kind == "synced":
+            if kind == "intent_durable":
                 self.core.runs.on_noted(number)
-            elif kind == "unsynced":
+            elif kind == "intent_lost":
                 self.core.count("store.not_noted")
                 self.core.runs.not_noted(number)
             else:
@@ -179,11 +179,11 @@
             return False
         given = {it.Outcome.DONE: self.DONE, it.Outcome.MOOT: self.UNBEGUN}.get(outcome, self.ENDED)
         number = self.number_of(call)
-        return number is not None and self.kept.told(number, given, result)
+        return number is not None and self.kept.end_unfinished(number, given, result)
 
     def unsettled(self, call):
         number = self.number_of(call)
-        return None if number is None else self.kept.unsettled(number)
+        return None if number is None else self.kept.unfinished_class(number)
 
     @staticmethod
     def number_of(call):
@@ -197,7 +197,7 @@
     def expire(self, now):
         self.table.expire(now)
         if self.kept is not None:
-            self.kept.upkeep()
+            self.kept.maintain()
 
     def turn_ends(self):
         """All intents of a turn go to the disk in one write."""
--- a/valeturn/lab/storebench.py
+++ b/valeturn/lab/storebench.py
@@ -22,9 +22,10 @@
 
 from ..result_store import entry_states, limits, window_clock
 from ..result_store.directory import StoreDirectory
+from ..result_store.environment import StoreEnvironment, StoreSettings
 from ..result_store.index import Index
-from ..result_store.snapshots import Snapshotting
-from ..result_store.store import Kept
+from ..result_store.log_jobs import SnapshotJob
+from ..result_store.store import ResultStore
 from ..result_store.timing_wheel import TimingWheel
 from ..transport.worker_thread import Helper
 
@@ -33,10 +34,6 @@
 MEASURED = 20_000  # submissions whose waits are taken, after which keys are only filled in
 
 
-class Plain:
-    retry = 1.0
-
-
 def mark(number):
     return f"parcel-{number:08d}"
 
@@ -46,16 +43,14 @@
     if not files.prepare():
         raise SystemExit(f"valeturn: {folder}: another process has it")
     derived = limits.derive_limits(2 * keys * 600 + 100_000_000, max(8_000_000, 150 * keys), 4_000_000)
-    return Kept(
-        Plain,
-        derived,
+    environment = StoreEnvironment(
         files,
         helper or Helper(),
         lambda: window_clock.read_clocks(boot),
-        86400.0,
         lambda *_: None,
         lambda *_: None,
     )
+    return ResultStore(environment, StoreSettings(derived, 1.0, 86400.0))
 
 
 def submissions(kept, keys, waits):
@@ -65,23 +60,23 @@
     while ended < keys:
         while len(under_way) < AT_ONCE and made < keys:
             made += 1
-            digest = kept.digest("book", mark(made))
-            if kept.meets(digest, 0.0).how != "execute" or kept.room_in():
+            digest = kept.key_digest("book", mark(made))
+            if kept.look_up(digest, 0.0).outcome != "execute" or kept.retry_after():
                 raise SystemExit(f"valeturn: no room for key {made}")
             under_way[made] = digest, time.perf_counter()
-            kept.note(made, digest, 86400.0, made.to_bytes(8, "big"), "book")
+            kept.log_intent(made, digest, 86400.0, made.to_bytes(8, "big"), "book")
         kept.flush()
-        kept.helper.end.recv(65536)
+        kept.worker.end.recv(65536)
         for kind, number, _ in kept.collect():
-            if kind != "synced":
+            if kind != "intent_durable":
                 raise SystemExit("valeturn: the disk failed")
             digest, began = under_way.pop(number)
             waits.record_value(max(1, int(1e6 * (time.perf_counter() - began))))
-            kept.over(number, digest, entry_states.SUCCEEDED, RESULT)
+            kept.end_execution(number, digest, entry_states.SUCCEEDED, RESULT)
             ended += 1
     kept.flush()
-    while kept.pending or kept.flying:
-        kept.helper.end.recv(65536)
+    while kept.pending or kept.in_flight:
+        kept.worker.end.recv(65536)
         kept.collect()
         kept.flush()
 
@@ -247,7 +242,7 @@
         one.mkdir(parents=True)
     waits = HdrHistogram(1, 60_000_000, 3)
     kept = open_kept(ours, keys)
-    key, began, cpu = kept.digest, time.perf_counter(), time.process_time()
+    key, began, cpu = kept.key_digest, time.perf_counter(), time.process_time()
     submissions(kept, keys, waits)
     took, cpu = time.perf_counter() - began, time.process_time() - cpu
     tell("store", keys, took, cpu, waits, ours, out)
@@ -261,7 +256,7 @@
     kept.close(10.0)
     (ours / "snapshot").unlink(missing_ok=True)
     open_it = f"kept = storebench.open_kept({str(ours)!r}, {keys}, Inline())"
-    check = f"assert kept.meets(kept.digest('book', storebench.mark({keys})), 0.0).how == 'answer'"
+    check = f"assert kept.look_up(kept.key_digest('book', storebench.mark({keys})), 0.0).outcome == 'answer'"
     took, memory = child(f"{open_it}\n{check}")
     print(
         f"start from the log: seconds={took:.3f} bytes_a_key={memory / keys:.0f}",
@@ -269,7 +264,7 @@
         flush=True,
     )
     kept = open_kept(ours, keys)
-    kept.finish(Snapshotting(kept))
+    kept.finish(SnapshotJob(kept))
     kept.close(10.0)
     took, memory = child(f"{open_it}\n{check}")
     print(
--- a/valeturn/result_store/commands.py
+++ b/valeturn/result_store/commands.py
@@ -1,136 +1,166 @@
-"""`valeturn store inspect|verify|compact DIR`: a folder looked at without a server on it, or beside one."""
+"""`valeturn store inspect|verify|compact DIR`: examines a store without a server, or beside one.
+
+The printed words are an interface of the commands and don't follow the names in the code.
+"""
 
 from __future__ import annotations
 
 import os
 import sys
+from collections.abc import Callable, Mapping
+from typing import Any, Final
 
 from ..transport.worker_thread import Inline
 from . import directory, limits, records, window_clock
 from .compaction_policy import LATE_READ_GRACE
 from .directory import StoreDirectory
+from .environment import StoreEnvironment, StoreSettings
 from .errors import StoreRefusedError
-from .opening import open_store
-from .store import Kept
-
-# The names of the entries' states that `inspect` prints, by entry_states.ALL_STATES.
-STATES = ("absent", "noted", "sent", "kept", "failed", "maybe")
-
+from .opening import OpenedStore, open_store
+from .store import ResultStore
 
-class Plain:
-    """What Kept asks of the operator's file."""
+# The names of the states that `inspect` prints, by entry_states.ALL_STATES.
+PRINTED_STATES: Final = ("absent", "noted", "sent", "kept", "failed", "maybe")
+# Limits that `compact` never reaches: it writes less than the store held before.
+COMPACT_DISK: Final = 1 << 60  # bytes
+COMPACT_MEMORY: Final = 1 << 40  # bytes
+COMPACT_SEGMENT: Final = 4_000_000  # bytes, the default of the operator's file
+COMPACT_RETRY: Final = 1.0  # seconds
+CLOSE_PATIENCE: Final = 60.0  # seconds
 
-    retry = 1.0
 
+def run(arguments: Mapping[str, Any]) -> int:
+    """Run the command that docopt parsed and return its exit code."""
+    command = next(name for name in ("inspect", "verify", "compact") if arguments[name])
+    return main(command, arguments["DIR"])
 
-def run(given):
-    """The exit code for docopt's words."""
-    return main(next(what for what in ("inspect", "verify", "compact") if given[what]), given["DIR"])
 
-
-def main(what, folder):
+def main(command: str, folder: str) -> int:
+    """Run a command on a directory; return 0, 1 where something is damaged, 2 where it can't be used."""
     if not os.path.isdir(folder):
         print(f"valeturn: {folder}: no such folder", file=sys.stderr)
         return 2
+    commands: dict[str, Callable[[str], int]] = {"inspect": inspect, "verify": verify, "compact": compact}
     try:
-        return {"inspect": inspect, "verify": verify, "compact": compact}[what](folder)
+        return commands[command](folder)
     except (StoreRefusedError, OSError) as error:
         print(f"valeturn: {folder}: {error}", file=sys.stderr)
         return 2
 
 
-def _open(folder):
-    moment = window_clock.read_clocks(window_clock.read_boot_id())
-    opened = open_store(StoreDirectory(folder), moment, may_create=False)
-    return opened, window_clock.resume(opened.recovered.timestamp, moment)
+def _open(folder: str) -> tuple[OpenedStore, float]:
+    """Return the directory as it is found, and store time now in seconds."""
+    reading = window_clock.read_clocks(window_clock.read_boot_id())
+    opened = open_store(StoreDirectory(folder), reading, may_create=False)
+    return opened, window_clock.resume(opened.recovered.timestamp, reading)
+
 
+def inspect(folder: str) -> int:
+    """Print what a store holds, and return 0.
 
-def inspect(folder):
-    """Reads alone, so it may be used beside a server; what that one is writing just then may look torn."""
+    It only reads, so it may be used beside a server; what that one is writing just then may look torn.
+    """
     opened, now = _open(folder)
-    found, states, ended = opened.recovered, dict.fromkeys(STATES, 0), 0
-    for shard in range(len(found.index.shards)):
-        for row in found.index.shard_rows(shard):
+    recovered = opened.recovered
+    counts = dict.fromkeys(PRINTED_STATES, 0)
+    ended = 0
+    for shard in range(len(recovered.index.shards)):
+        for row in recovered.index.shard_rows(shard):
             if row.until + LATE_READ_GRACE > now:
-                states[STATES[row.state]] += 1
+                counts[PRINTED_STATES[row.state]] += 1
             else:
                 ended += 1
+    states = " ".join(f"{name}={count}" for name, count in counts.items() if count)
+    print(f"keys={recovered.index.count} {states} ended={ended}")
+    log_size = sum(segment.size for segment in recovered.segments.values())
     print(
-        f"keys={found.index.count} "
-        + " ".join(f"{k}={n}" for k, n in states.items() if n)
-        + f" ended={ended}"
-    )
-    print(
-        f"segments={len(found.segments)} log_mb={sum(s.size for s in found.segments.values()) / 1e6:.3f}"
+        f"segments={len(recovered.segments)} log_mb={log_size / 1e6:.3f}"
         f" snapshot_mb={opened.snapshot_size / 1e6:.3f} set_aside={len(opened.set_aside)}"
     )
     print(
-        f"longest_window={found.longest_window:g} s unsure_for={max(0.0, found.in_doubt_until - now):.1f} s"
-        f" unsettled={len(found.unfinished)} passed_over={found.unknown_records}"
+        f"longest_window={recovered.longest_window:g} s"
+        f" unsure_for={max(0.0, recovered.in_doubt_until - now):.1f} s"
+        f" unsettled={len(recovered.unfinished)} passed_over={recovered.unknown_records}"
     )
-    for event, fields in found.notes:
+    for event, fields in recovered.notes:
         print(event, " ".join(f"{key}={value}" for key, value in fields.items()))
     return 0
 
 
-def verify(folder):
-    """Reads every byte of every segment, those before the snapshot too. 1 where something is not whole."""
+def verify(folder: str) -> int:
+    """Read every byte of every segment, those before the snapshot too; return 1 where one is damaged."""
     opened, _ = _open(folder)
-    files, bad = StoreDirectory(folder), []
+    recovered = opened.recovered
+    files = StoreDirectory(folder)
+    faults = []
     if opened.snapshot_fault:
-        bad.append(f"snapshot: {opened.snapshot_fault}")
-    bad += [f"segment {number}: {why}" for number, why in opened.recovered.damaged]
-    seen = {number for number, _ in opened.recovered.damaged}
-    frames = count = 0
-    for number in sorted(opened.recovered.segments):
-        data, at = files.read(directory.segment_file(number)), len(records.LOG_MAGIC)
-        while (frame := records.read_frame(data, at, number)) is not None:
-            frames += 1
-            for offset, size, _ in records.decode_records(frame.payload):
-                start = frame.offset + offset
-                if records.decode_single(data[start : start + size]) is None:
-                    bad.append(f"segment {number}: the record at {start} is damaged")
-                count += 1
-            at = frame.end
-        ends = {**opened.recovered.known_ends, **dict(opened.recovered.segment_ends)}
-        if at < ends.get(number, at) and number not in seen:
-            bad.append(f"segment {number}: damaged at {at} of {len(data)} bytes")
-        elif at < len(data) and number not in seen:
-            print(f"segment {number}: {len(data) - at} bytes behind {at} were never durable")
-    for line in bad:
-        print(line)
-    verdict = "damaged" if bad else "whole"
-    print(f"{verdict}: segments={len(opened.recovered.segments)} frames={frames} records={count}")
-    return 1 if bad else 0
-
-
-def compact(folder):
-    """Writes what is still in its window into a new log, then drops the old one; a server may not run on
-    it."""
+        faults.append(f"snapshot: {opened.snapshot_fault}")
+    faults += [f"segment {number}: {reason}" for number, reason in recovered.damaged]
+    known_damage = {number for number, _ in recovered.damaged}
+    known_ends = {**recovered.known_ends, **dict(recovered.segment_ends)}
+    frame_count = 0
+    record_count = 0
+    for number in sorted(recovered.segments):
+        data = files.read(directory.segment_file(number))
+        frames, record_faults, segment_records, end = _verify_segment(number, data)
+        frame_count += frames
+        record_count += segment_records
+        faults += record_faults
+        if number in known_damage:
+            continue
+        if end < known_ends.get(number, end):
+            faults.append(f"segment {number}: damaged at {end} of {len(data)} bytes")
+        elif end < len(data):
+            print(f"segment {number}: {len(data) - end} bytes behind {end} were never durable")
+    for fault in faults:
+        print(fault)
+    verdict = "damaged" if faults else "whole"
+    print(f"{verdict}: segments={len(recovered.segments)} frames={frame_count} records={record_count}")
+    return 1 if faults else 0
+
+
+def _verify_segment(number: int, data: bytes) -> tuple[int, list[str], int, int]:
+    """Return the count of frames, the faults, the count of records and the offset behind the last frame."""
+    offset = len(records.LOG_MAGIC)
+    frame_count = 0
+    record_count = 0
+    faults = []
+    while (frame := records.read_frame(data, offset, number)) is not None:
+        frame_count += 1
+        for record_offset, size, _ in records.decode_records(frame.payload):
+            start = frame.offset + record_offset
+            if records.decode_single(data[start : start + size]) is None:
+                faults.append(f"segment {number}: the record at {start} is damaged")
+            record_count += 1
+        offset = frame.end
+    return frame_count, faults, record_count, offset
+
+
+def compact(folder: str) -> int:
+    """Write the entries still in their window into a new log and drop the old one.
+
+    No server may run on the directory. Returns 0, 1 where it failed, or 2 where another process has it.
+    """
     files = StoreDirectory(folder)
     if not files.prepare():
         print(f"valeturn: {folder}: another process has it", file=sys.stderr)
         return 2
     boot_id = window_clock.read_boot_id()
-    before = sum(files.size(file) for file in files.names())
+    bytes_before = sum(files.size(file) for file in files.names())
     open_store(files, window_clock.read_clocks(boot_id), may_create=False)
-    said = []
-    derived = limits.derive_limits(1 << 60, 1 << 40, 4_000_000)
-    kept = Kept(
-        Plain,
-        derived,
+    environment = StoreEnvironment(
         files,
         Inline(),
         lambda: window_clock.read_clocks(boot_id),
-        0.0,
-        lambda *_: None,
-        lambda event, fields: said.append((event, fields)),
-    )
-    kept.collect()
-    kept.compact_all()
-    done = kept.close(60.0)
-    after = sum(StoreDirectory(folder).size(file) for file in StoreDirectory(folder).names())
-    print(
-        f"{'done' if done else 'failed'}: keys={kept.index.count} bytes_before={before} bytes_after={after}"
+        count=lambda *_: None,
+        log=lambda *_: None,
     )
+    derived = limits.derive_limits(COMPACT_DISK, COMPACT_MEMORY, COMPACT_SEGMENT)
+    store = ResultStore(environment, StoreSettings(derived, COMPACT_RETRY, longest_window=0.0))
+    store.collect()
+    store.compact_all()
+    done = store.close(CLOSE_PATIENCE)
+    bytes_after = sum(files.size(file) for file in files.names())
+    verdict = "done" if done else "failed"
+    print(f"{verdict}: keys={store.index.count} bytes_before={bytes_before} bytes_after={bytes_after}")
     return 0 if done else 1
--- a/valeturn/result_store/log.py
+++ b/valeturn/result_store/log.py
@@ -1,330 +1,399 @@
-"""The log on the disk as it is written: batches, segments, the disk's health, and the long jobs in turn.
+"""The log as it is written: batches, segments, the disk's health, and the background jobs one at a time.
 
-Knows no key. What a record that has become durable means, and what is done with one that could not, is for
-`Kept`. All calls come from the owner's turn; the disk is reached through the helper alone.
+This module knows no keys: what a durable record means, and what is done about one that could not be made
+durable, is for `ResultStore`. All calls come from the event loop; the disk is reached only through the worker
+thread, so that a slow disk never stops the loop.
 """
 
 from __future__ import annotations
 
 import time
+from abc import ABC, abstractmethod
+from collections.abc import Callable
+from typing import Any, Final, NamedTuple
 
-from . import compaction_policy, directory, records
+from . import compaction_policy, directory, records, recovery
+from .compaction_policy import DiskEffect, DiskEvent, DiskHealth, LogAction, SegmentView
 from .disk_jobs import LogWriter
+from .environment import StoreEnvironment, StoreSettings
+from .events import StoreEvent
+from .index import IndexRow
 from .limits import usable_log_bytes
+from .log_jobs import CompactionJob, LogJob, SnapshotJob
 from .opening import key_check, open_store
-from .recovery import Segment, unfinished_executions
-from .snapshots import Compaction, Snapshotting
+from .pending_records import LiveEntry, QueuedRecord
+from .snapshot import LogPosition
 from .window_clock import WindowClock
-
-BATCH = 1 << 20  # bytes of records in one write: what waits longer comes with the next
-
-
-class Queued:
-    """A record that waits for the disk."""
-
-    __slots__ = ("data", "live", "record")
-
-    def __init__(self, record, live):
-        self.record, self.live, self.data = record, live, records.encode_record(record)
-
-
-class Log:
-    def __init__(self, options, bounds, files, helper, moment, longest, count, log):
-        """Opens the folder, which must be prepared. moment(): the clocks. longest: s of the longest window of
-        the settings. Raises recovery.StoreRefusedError or OSError."""
-        self.options, self.bounds, self.files, self.helper = options, bounds, files, helper
-        self.count, self.log, self.longest = count, log, longest
-        opened = open_store(files, moment())
-        self.opened, self.key = opened, opened.key
-        found = self.found = opened.recovered
-        self.orphans = unfinished_executions(found)
-        found.longest_window = max(found.longest_window, longest)
-        self.clock, self.journal, self.index = (
-            WindowClock(found.timestamp, moment),
-            LogWriter(files),
-            found.index,
-        )
-        self.live = {}  # digest -> Live
-        self.pending, self.pending_bytes, self.flying = [], 0, None  # flying: (entries, bytes) at the disk
-        self.health, self.retry_at, self.ends = (
-            compaction_policy.DiskHealth.HEALTHY,
-            0.0,
-            list(found.segment_ends),
-        )
-        self.active, self.begun, self.sequence = None, False, found.sequence
-        self.covered, self.snapshot_size = opened.covered, opened.snapshot_size
-        self.position = opened.position or (0, 0)
-        self.job, self.rest_until = None, 0.0  # the snapshot or compaction under way
-        self.set_aside = sorted({n for n, _ in found.damaged} & set(found.segments))
-        self.aside = list(opened.set_aside)
-        self.wants_snapshot = bool(found.damaged or opened.snapshot_fault)
-        for event, fields in found.notes:
-            self.log("store_" + event, fields)
-        self.rescue()
-        self._open_next()
-
-    # What Kept makes of it: a record of the flying batch is durable, at this offset; some can't be made so.
-
-    def _durable(self, one, offset):
-        raise NotImplementedError
-
-    def _given_back(self, taken):
-        raise NotImplementedError
-
-    def queue(self, record, live=None):
-        one = Queued(record, live)
-        if live is not None:
-            live.queued += 1
-        self.pending.append(one)
-        self.pending_bytes += len(one.data)
-
-    def flush(self):
-        """Hands what waits to the disk, in one write, once the one before is through."""
-        if not self.pending or self.flying is not None or self.health != compaction_policy.DiskHealth.HEALTHY:
+from .worker import FrameAppended, JobStepDone, SegmentAbandoned, SegmentBegun
+
+# Bytes of records from which a write takes no more: what waits longer comes with the next one.
+BATCH_SIZE: Final = 1 << 20
+POLL_INTERVAL: Final = 0.001  # seconds between looks at the worker thread, where the caller waits for it
+HEALTHY: Final = DiskHealth.HEALTHY  # bound once: an attribute of an Enum is looked up slowly
+
+# The server's log events for the findings of a recovery; `inspect` prints the findings under their own names.
+RECOVERY_EVENTS: Final = {
+    "torn": "store_torn_tail_cut",
+    "snapshot_newer": "store_snapshot_ahead_of_log",
+    "damage": "store_damage_found",
+    "snapshot_unusable": "store_snapshot_rejected",
+}
+
+
+class InFlightBatch(NamedTuple):
+    """What the worker thread is writing."""
+
+    records: list[QueuedRecord]
+    size: int  # bytes of these records
+    timestamp_size: int  # bytes of the timestamp in front of them
+
+
+def _ignore_result(request: SegmentAbandoned, result: OSError | None) -> None:
+    """Ignore how closing a failed descriptor ended: the failure was handled when it was seen."""
+
+
+class SegmentedLog(ABC):
+    """The log of one directory."""
+
+    def __init__(self, environment: StoreEnvironment, settings: StoreSettings) -> None:
+        """Open the directory.
+
+        Raises:
+            StoreRefusedError: The directory can't be used.
+            OSError: It can't be read.
+        """
+        self.files = environment.files
+        self.worker = environment.worker
+        self.count = environment.count
+        self.log = environment.log
+        self.limits = settings.limits
+        self.settings = settings
+        opened = open_store(self.files, environment.read_clocks())
+        self.key = opened.key
+        self.recovered = opened.recovered
+        # By execution id: the digest and request class of executions from before the start.
+        self.unfinished = recovery.unfinished_executions(self.recovered)
+        self.recovered.longest_window = max(self.recovered.longest_window, settings.longest_window)
+        self.clock = WindowClock(self.recovered.timestamp, environment.read_clocks)
+        self.writer = LogWriter(self.files)
+        self.index = self.recovered.index
+        self.entries: dict[bytes, LiveEntry] = {}  # by digest
+        self.pending: list[QueuedRecord] = []
+        self.pending_bytes = 0
+        self.in_flight: InFlightBatch | None = None
+        self.health = HEALTHY
+        self.retry_at = 0.0  # store time, seconds: when a failed disk is tried again
+        self.segment_ends = list(self.recovered.segment_ends)  # what the next head tells
+        self.active_begun = False  # whether the active segment is durable
+        self.sequence = self.recovered.sequence
+        self.covered = opened.covered
+        self.snapshot_size = opened.snapshot_size
+        self.position = opened.position or LogPosition(0, 0)
+        self.job: LogJob | None = None
+        self.pause_until = 0.0  # store time, seconds: no compaction for space before it
+        damaged = {number for number, _ in self.recovered.damaged}
+        self.to_set_aside = sorted(damaged & set(self.recovered.segments))
+        self.set_aside = list(opened.set_aside)
+        self.wants_snapshot = bool(self.recovered.damaged or opened.snapshot_fault)
+        self._worker_handlers: dict[type, Callable[[Any, Any], None]] = {
+            SegmentBegun: self._on_begun,
+            FrameAppended: self._on_appended,
+            SegmentAbandoned: _ignore_result,
+            JobStepDone: self._on_job_step,
+        }
+        self._disk_effects: dict[DiskEffect, Callable[[], object]] = {
+            DiskEffect.ABANDON: self._abandon_segment,
+            DiskEffect.REOPEN: self._open_next,
+            DiskEffect.RESUME: self._report_recovery,
+        }
+        for event, fields in self.recovered.notes:
+            self.log(RECOVERY_EVENTS[event], fields)
+        self._rescue_damaged()
+        self.active = self._open_next()
+
+    @abstractmethod
+    def _on_durable(self, queued: QueuedRecord, offset: int) -> None:
+        """Take note that a record of the batch in flight is durable at this offset."""
+
+    @abstractmethod
+    def _on_not_durable(self, batch: list[QueuedRecord]) -> None:
+        """Decide about the records of a batch whose write failed, and about those that wait."""
+
+    @abstractmethod
+    def collect(self) -> list[StoreEvent]:
+        """Handle what the worker thread has done, and return the events since the last call."""
+
+    def queue(self, record: records.KeyRecord, entry: LiveEntry | None = None) -> None:
+        """Queue a record for the next write."""
+        queued = QueuedRecord(record, entry)
+        if entry is not None:
+            entry.queued += 1
+        self.pending.append(queued)
+        self.pending_bytes += len(queued.data)
+
+    def flush(self) -> None:
+        """Hand queued records to the disk in one write, once the write before is through."""
+        if not self.pending or self.in_flight is not None or self.health != HEALTHY:
             return
-        if self.active.size >= self.bounds.segment:
+        if self.active.size >= self.limits.segment:
             self._open_next()
-        taken, size = [], 0
-        while len(taken) < len(self.pending) and size < BATCH:
-            size += len(self.pending[len(taken)].data)
-            taken.append(self.pending[len(taken)])
-        del self.pending[: len(taken)]
+        batch: list[QueuedRecord] = []
+        size = 0
+        for queued in self.pending:
+            if size >= BATCH_SIZE:
+                break
+            size += len(queued.data)
+            batch.append(queued)
+        del self.pending[: len(batch)]
         self.pending_bytes -= size
         self.sequence += 1
-        head = records.encode_record(self.clock.timestamp())
-        payload = head + b"".join(one.data for one in taken)
+        timestamp = records.encode_record(self.clock.timestamp())
+        payload = timestamp + b"".join([queued.data for queued in batch])
         data = records.encode_frame(self.active.number, self.sequence, payload)
-        self.flying = taken, size, len(head)
-        self.helper.ask(("appended",), self.journal.append, data)
-
-    def _open_next(self):
-        """Asks for the next segment; what was written before stands in its head."""
-        self.found.last_segment += 1
-        number = self.found.last_segment
+        self.in_flight = InFlightBatch(batch, size, len(timestamp))
+        self.worker.ask(FrameAppended(), self.writer.append, data)
+
+    def _open_next(self) -> recovery.Segment:
+        """Ask for the next segment and return it; its head tells the sizes of those before."""
+        self.recovered.last_segment += 1
+        number = self.recovered.last_segment
+        timestamp = self.clock.read()
         head = records.SegmentHead(
             number,
-            tuple(self.ends),
-            self.clock.read().boot_id,
+            tuple(self.segment_ends),
+            timestamp.boot_id,
             key_check(self.key),
-            max(self.longest, self.found.longest_window),
+            max(self.settings.longest_window, self.recovered.longest_window),
         )
         self.sequence += 1
         parts = [records.encode_record(head), records.encode_record(self.clock.timestamp())]
-        if self.found.in_doubt_until > self.clock.now():
-            parts.append(records.encode_record(records.InDoubtRecord(self.found.in_doubt_until)))
+        if self.recovered.in_doubt_until > self.clock.now():
+            parts.append(records.encode_record(records.InDoubtRecord(self.recovered.in_doubt_until)))
         data = records.encode_frame(number, self.sequence, b"".join(parts))
-        self.begun = False
-        self.active = self.found.segments[number] = Segment(number, len(records.LOG_MAGIC) + len(data))
-        if self.health != compaction_policy.DiskHealth.HEALTHY:
-            self.health = compaction_policy.DiskHealth.REOPENING
-        self.helper.ask(("begun", number), self.journal.begin_segment, number, data)
-
-    def _health(self, given):
-        found = compaction_policy.DISK_TRANSITIONS.get((self.health, given))
+        self.active_begun = False
+        self.active = recovery.Segment(number, len(records.LOG_MAGIC) + len(data))
+        self.recovered.segments[number] = self.active
+        if self.health != HEALTHY:
+            self.health = DiskHealth.REOPENING
+        self.worker.ask(SegmentBegun(number), self.writer.begin_segment, number, data)
+        return self.active
+
+    # The disk's health
+
+    def _change_health(self, event: DiskEvent) -> None:
+        found = compaction_policy.DISK_TRANSITIONS.get((self.health, event))
         if found is not None:
             self.health, effect = found
-            getattr(self, "disk_" + effect)()
+            self._disk_effects[effect]()
 
-    def disk_abandon(self):
-        """What the failed descriptor took can't be known: what it was given is given to another, later."""
-        self.retry_at = self.clock.now() + self.options.retry
-        self.helper.ask(("closed",), self.journal.abandon)
+    def _abandon_segment(self) -> None:
+        """Close the failed descriptor: what reached the disk can't be known, and is written again later."""
+        self.retry_at = self.clock.now() + self.settings.retry_delay
+        self.worker.ask(SegmentAbandoned(), self.writer.abandon)
 
-    def disk_open(self):
-        self._open_next()
+    def _report_recovery(self) -> None:
+        self.log("store_disk_recovered", {"segment": self.active.number})
 
-    def disk_resume(self):
-        self.log("store_disk_well", {"segment": self.active.number})
+    def _report_failure(self, operation: str, error: OSError) -> None:
+        self.count("store.disk_errors")
+        fields = {"operation": operation, "error": str(error), "errno": getattr(error, "errno", None)}
+        self.log("store_operation_failed", fields)
 
-    def failed(self, what, error):
-        self.count("store.errors")
-        self.log("store_error", {"doing": what, "why": str(error), "errno": getattr(error, "errno", None)})
+    # What the worker thread has done
 
-    def on_begun(self, what, got):
-        if isinstance(got, OSError):
-            self.failed("begin", got)
-            self.found.segments.pop(what[1], None)
-            self.found.last_segment -= 1  # the number is used again: one that is missing would be damage
+    def _on_begun(self, request: SegmentBegun, result: int | OSError) -> None:
+        if isinstance(result, OSError):
+            self._report_failure("begin", result)
+            self.recovered.segments.pop(request.number, None)
+            self.recovered.last_segment -= 1  # Used again: a number that is missing would be damage.
             self.sequence -= 1
-            self._health(compaction_policy.DiskEvent.FAILED)
-            if self.flying is not None:  # was asked for behind it: its own end comes, and fails
-                self.count("store.behind")
-        else:
-            self.ends, self.begun = [(what[1], got)], True
-            self._health(compaction_policy.DiskEvent.REOPENED)
-
-    def on_appended(self, what, got):
-        taken, size, head = self.flying
-        self.flying = None
-        if isinstance(got, OSError):
-            self.failed("append", got)
+            self._change_health(DiskEvent.FAILED)
+            if self.in_flight is not None:  # An append queued behind it will fail on its own.
+                self.count("store.appends_behind_failure")
+            return
+        self.segment_ends = [(request.number, result)]
+        self.active_begun = True
+        self._change_health(DiskEvent.REOPENED)
+
+    def _on_appended(self, request: FrameAppended, result: int | OSError) -> None:
+        assert self.in_flight is not None
+        batch, _, timestamp_size = self.in_flight
+        self.in_flight = None
+        if isinstance(result, OSError):
+            self._report_failure("append", result)
             self.sequence -= 1
-            self._health(compaction_policy.DiskEvent.FAILED)
-            self._given_back(taken)
+            self._change_health(DiskEvent.FAILED)
+            self._on_not_durable(batch)
             return
-        offset = self.active.size + records.FRAME_HEADER.size + head
-        for one in taken:
-            self._durable(one, offset)
-            offset += len(one.data)
-        self.active.size += got
-        self.ends = [(self.active.number, self.active.size)]
+        offset = self.active.size + records.FRAME_HEADER.size + timestamp_size
+        for queued in batch:
+            self._on_durable(queued, offset)
+            offset += len(queued.data)
+        self.active.size += result
+        self.segment_ends = [(self.active.number, self.active.size)]
         self.count("store.appends")
-        self.count("store.records", len(taken))
-
-    def on_closed(self, what, got):
-        pass
+        self.count("store.records", len(batch))
 
-    def on_job(self, what, got):
-        if isinstance(got, OSError):
-            self.failed(what[1], got)
+    def _on_job_step(self, request: JobStepDone, result: Any) -> None:  # noqa: ANN401 (as LogJob.on_done)
+        if isinstance(result, OSError):
+            self._report_failure(request.step, result)
             self.job = None
-            self.rest_until = self.clock.now() + self.options.retry
-        elif self.job is not None and what[2] is self.job:
-            self.job.on_done(what[1], got)
-
-    def rescue(self):
-        """At the start, of damaged segments: what can be read is written anew, of the rest is kept that it
-        ran."""
-        lost = {number for number, _ in self.found.damaged}
-        if not lost:
+            self.pause_until = self.clock.now() + self.settings.retry_delay
+        elif self.job is not None and request.job is self.job:
+            self.job.on_done(request.step, result)
+
+    # Damaged segments
+
+    def _rescue_damaged(self) -> None:
+        """At the start, write anew what can be read of damaged segments; the rest is recorded as failed."""
+        damaged = {number for number, _ in self.recovered.damaged}
+        if not damaged:
             return
-        self.log("store_unsure", {"for_s": round(self.found.in_doubt_until - self.clock.now(), 1)})
+        duration = round(self.recovered.in_doubt_until - self.clock.now(), 1)
+        self.log("store_keys_in_doubt", {"duration_s": duration})
         for shard in range(len(self.index.shards)):
             for row in self.index.shard_rows(shard):
-                if row.segment in lost:
+                if row.segment in damaged:
                     self.copy(row, self._read_now(row))
 
-    def _read_now(self, row):
+    def _read_now(self, row: IndexRow) -> records.Record | None:
         try:
-            return self.journal.read_record(row.segment, row.offset, row.size)
+            return self.writer.read_record(row.segment, row.offset, row.size)
         except OSError:
             return None
 
-    def copy(self, row, record):
-        """Writes an entry anew at the end of the log; without its record, as one that ended."""
-        good = (
-            isinstance(record, (records.IntentRecord, records.ResultRecord, records.FailedRecord))
-            and record.digest == row.digest
-        )
-        self.queue(record if good else records.FailedRecord(row.digest, row.until))
+    def copy(self, row: IndexRow, record: records.Record | None) -> None:
+        """Queue an entry anew; without its own record, as an execution that ended without a result."""
+        key_records = (records.IntentRecord, records.ResultRecord, records.FailedRecord)
+        if isinstance(record, key_records) and record.digest == row.digest:
+            self.queue(record)
+        else:
+            self.queue(records.FailedRecord(row.digest, row.until))
 
-    def view(self, now):
+    def _set_next_aside(self) -> None:
+        """Take a damaged segment out of the log once a snapshot stands without it.
+
+        A few files stay for inspection; older ones are deleted.
+        """
+        if self.wants_snapshot or self.to_set_aside[0] >= self.covered:
+            self.wants_snapshot = False
+            self.job = SnapshotJob(self)
+            return
+        number = self.to_set_aside.pop(0)
+        self.recovered.segments.pop(number, None)
+        self.set_aside.append(number)
+        self.log("store_segment_set_aside", {"segment": number})
+        self.worker.ask(JobStepDone("set_aside", None), self.writer.set_aside, number)
+        while len(self.set_aside) > self.limits.damaged:
+            oldest = directory.damaged_file(self.set_aside.pop(0))
+            self.worker.ask(JobStepDone("drop", None), self.files.remove, oldest)
+
+    # Background jobs
+
+    def view(self, now: float) -> compaction_policy.LogView:
+        """Return what the compaction policy decides on; `now` is store time in seconds."""
         segments = tuple(
-            (s.number, s.size, s.longest_until)
-            for n, s in sorted(self.found.segments.items())
-            if n != self.active.number
+            SegmentView(segment.number, segment.size, segment.longest_until)
+            for number, segment in sorted(self.recovered.segments.items())
+            if number != self.active.number
         )
-        at, offset = self.position
-        unsnapped = sum(size for number, size, _ in segments if number >= at) + self.active.size - offset
+        behind = sum(segment.size for segment in segments if segment.number >= self.position.segment)
         return compaction_policy.LogView(
-            now,
-            segments,
-            (self.active.number, self.active.size),
-            self.covered,
-            unsnapped,
-            self.snapshot_size,
-            self.bounds.segment,
-            self.usable(),
-            self.health == compaction_policy.DiskHealth.HEALTHY and self.begun,
-            self.rest_until,
+            now=now,
+            segments=segments,
+            active=(self.active.number, self.active.size),
+            covered=self.covered,
+            unsnapshotted=behind + self.active.size - self.position.offset,
+            snapshot_size=self.snapshot_size,
+            segment_limit=self.limits.segment,
+            usable=self.usable(),
+            healthy=self.health == HEALTHY and self.active_begun,
+            pause_until=self.pause_until,
         )
 
-    def _next_job(self, now):
+    def _start_next_job(self, now: float) -> None:
         view = self.view(now)
         action = compaction_policy.decide(view)
-        if action == compaction_policy.LogAction.SNAPSHOT:
-            if view.segments and view.segments[0][0] >= self.active.number:
+        if action == LogAction.SNAPSHOT:
+            if view.segments and view.segments[0].number >= self.active.number:
                 return
-            self.job = Snapshotting(self)
-        elif action == compaction_policy.LogAction.DROP:
-            self.dropped(view.segments[0][0])
-        elif action == compaction_policy.LogAction.COMPACT:
-            self.job = Compaction(self, view.segments[0][0])
-
-    def dropped(self, number):
-        self.found.segments.pop(number, None)
+            self.job = SnapshotJob(self)
+        elif action == LogAction.DROP:
+            self.drop_segment(view.segments[0].number)
+        elif action == LogAction.COMPACT:
+            self.job = CompactionJob(self, view.segments[0].number)
+
+    def drop_segment(self, number: int) -> None:
+        """Remove a segment from the log and delete its file."""
+        self.recovered.segments.pop(number, None)
         self.count("store.segments_dropped")
-        self.helper.ask(("job", "drop", None), self.journal.delete_segment, number)
+        self.worker.ask(JobStepDone("drop", None), self.writer.delete_segment, number)
 
-    def _next_aside(self):
-        """Damaged segments leave the log once a snapshot stands without them; a few stay for a look."""
-        if self.wants_snapshot or self.set_aside[0] >= self.covered:
-            self.wants_snapshot, self.job = False, Snapshotting(self)
-            return
-        number = self.set_aside.pop(0)
-        self.found.segments.pop(number, None)
-        self.aside.append(number)
-        self.log("store_set_aside", {"segment": number})
-        self.helper.ask(("job", "set_aside", None), self.journal.set_aside, number)
-        while len(self.aside) > self.bounds.damaged:
-            gone = self.aside.pop(0)
-            self.helper.ask(("job", "drop", None), self.files.remove, directory.damaged_file(gone))
-
-    def used(self):
-        return sum(segment.size for segment in self.found.segments.values())
-
-    def usable(self):
-        return usable_log_bytes(self.bounds)
-
-    def waiting(self):
-        return self.pending_bytes + (self.flying[1] if self.flying else 0)
-
-    def close(self, patience):
-        """What waits goes to the disk, for so many seconds at the most. True where all of it did."""
-        until = time.monotonic() + patience
-        while time.monotonic() < until:
-            self.collect()
-            self.flush()
-            if self.flying is None and not self.pending:
-                break
-            if self.health != compaction_policy.DiskHealth.HEALTHY:
-                break
-            time.sleep(0.001)
-        done = not self.pending and self.flying is None
-        self.helper.finish(max(0.0, until - time.monotonic()))
-        self.files.release()
-        return done
+    def _step_background(self, now: float) -> None:
+        """Do one step of what is done in the background."""
+        if self.health == DiskHealth.BACKING_OFF and now >= self.retry_at and self.in_flight is None:
+            self._change_health(DiskEvent.RETRY)
+        if self.job is not None:
+            if not self.job.step():
+                self.job = None
+        elif (self.wants_snapshot or self.to_set_aside) and self.health == HEALTHY and self.active_begun:
+            if not self.pending and self.in_flight is None:
+                self._set_next_aside()
+        else:
+            self._start_next_job(now)
+        self.flush()
 
-    def compact_all(self):
-        """Compacts every segment there was at the start; for the command, with a helper that does all at
-        once."""
+    def compact_all(self) -> None:
+        """Compact every segment there was at the start; for the command, which waits for each job."""
         self.wants_snapshot = False
-        self.finish(Snapshotting(self))
-        for number in sorted(n for n in self.found.segments if n < self.active.number):
-            self.finish(Compaction(self, number))
-        self.finish(Snapshotting(self))
+        self.finish(SnapshotJob(self))
+        for number in sorted(n for n in self.recovered.segments if n < self.active.number):
+            self.finish(CompactionJob(self, number))
+        self.finish(SnapshotJob(self))
 
-    def finish(self, job):
-        """Does a long job in one go, for the commands."""
+    def finish(self, job: LogJob) -> None:
+        """Do a job in one go, for the commands; a failure of the disk ends it."""
         self.job = job
         while self.job is not None:
             if not job.step():
                 self.job = None
             self.flush()
             self.collect()
-            if self.helper.busy:
-                time.sleep(0.001)
-            if self.health != compaction_policy.DiskHealth.HEALTHY:
+            if self.worker.busy:
+                time.sleep(POLL_INTERVAL)
+            if self.health != HEALTHY:
                 return
 
-    def work(self, now):
-        """One step of what is done in the background."""
-        if (
-            self.health == compaction_policy.DiskHealth.BACKING_OFF
-            and now >= self.retry_at
-            and self.flying is None
-        ):
-            self._health(compaction_policy.DiskEvent.RETRY)
-        if self.job is not None:
-            if not self.job.step():
-                self.job = None
-        elif (
-            (self.wants_snapshot or self.set_aside)
-            and self.health == compaction_policy.DiskHealth.HEALTHY
-            and self.begun
-        ):
-            if not self.pending and self.flying is None:
-                self._next_aside()
-        else:
-            self._next_job(now)
-        self.flush()
+    # Figures
+
+    def used(self) -> int:
+        """Return the bytes of all segments."""
+        return sum(segment.size for segment in self.recovered.segments.values())
+
+    def usable(self) -> int:
+        """Return the bytes of log that may hold entries which must not be dropped."""
+        return usable_log_bytes(self.limits)
+
+    def waiting(self) -> int:
+        """Return the bytes of records that wait for the disk."""
+        return self.pending_bytes + (self.in_flight.size if self.in_flight is not None else 0)
+
+    def not_durable(self) -> list[QueuedRecord]:
+        """Return the records that wait for the disk."""
+        if self.in_flight is None:
+            return list(self.pending)
+        return [*self.pending, *self.in_flight.records]
+
+    def close(self, patience: float) -> bool:
+        """Write what waits, for up to `patience` seconds; return whether all of it became durable."""
+        deadline = time.monotonic() + patience
+        while time.monotonic() < deadline:
+            self.collect()
+            self.flush()
+            if (self.in_flight is None and not self.pending) or self.health != HEALTHY:
+                break
+            time.sleep(POLL_INTERVAL)
+        done = not self.pending and self.in_flight is None
+        self.worker.finish(max(0.0, deadline - time.monotonic()))
+        self.files.release()
+        return done
--- a/valeturn/result_store/options.py
+++ b/valeturn/result_store/options.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from collections.abc import Mapping
+from typing import Any, NamedTuple
 
 from ..operator_config.schema import REQUIRED, Field, Shape
 from ..operator_config.value_types import Folder, Quantity
@@ -10,44 +11,40 @@
 
 
 class StoreOptions(NamedTuple):
+    """The section's values; the field names are its keys."""
+
     folder: str
-    disk: int  # bytes that all its files may take
+    disk: int  # bytes that all files may take
     memory: int  # bytes for the index and what waits for the disk
-    segment: int  # bytes of a log file at which the next is begun
-    retry: float  # s from an error of the disk to the next attempt, in a file of its own
-    where: dict = {}
+    segment: int  # bytes of a segment from which the next one is begun
+    retry: float  # seconds from a failure of the disk to the next attempt, with a new segment
+    where: Mapping[str, Any] = {}  # by key, the place in the operator's file, for faults
 
-    def fit(self, memory_mb):
-        """The faults of these values beside the limits of the process."""
+    def fit(self, memory_mb: float) -> list[Any]:
+        """Return the faults of these values beside the memory limit of the process, in MB."""
         free = memory_mb * 1e6 - limits.MIN_PROCESS_MEMORY
-        if self.memory > free:
-            return [
-                self.where["memory"].fault(
-                    "over-the-limits",
-                    f"memory leaves the process under {limits.MIN_PROCESS_MEMORY / 1e6:g} MB of its "
-                    f"limits.memory_mb = {memory_mb:g}; at most {max(0.0, free) / 1e6:g} MB fit",
-                )
-            ]
-        return []
-
-
-def build(values, where):
-    options = StoreOptions(**values, where=where)
-    least = limits.MIN_SEGMENTS * options.segment
-    faults = []
-    if options.disk < least:
-        faults.append(
-            where["disk"].fault(
-                "too-small",
-                f"disk wants room for {limits.MIN_SEGMENTS} segments, {least / 1e6:g} MB at least",
-            )
+        if self.memory <= free:
+            return []
+        text = (
+            f"memory leaves the process under {limits.MIN_PROCESS_MEMORY / 1e6:g} MB of its "
+            f"limits.memory_mb = {memory_mb:g}; at most {max(0.0, free) / 1e6:g} MB fit"
         )
-    return options, faults
+        return [self.where["memory"].fault("over-the-limits", text)]
+
+
+def build(values: Mapping[str, Any], where: Mapping[str, Any]) -> tuple[StoreOptions, list[Any]]:
+    """Return the options of a section's values, and the faults that they have together."""
+    options = StoreOptions(**values, where=where)
+    min_disk = limits.MIN_SEGMENTS * options.segment
+    if options.disk >= min_disk:
+        return options, []
+    text = f"disk wants room for {limits.MIN_SEGMENTS} segments, {min_disk / 1e6:g} MB at least"
+    return options, [where["disk"].fault("too-small", text)]
 
 
-def fit(built, c):
-    """What is wrong with it beside a configuration."""
-    return built.fit(c.memory_mb)
+def fit(built: StoreOptions, configuration: Any) -> list[Any]:  # noqa: ANN401 (the server's configuration)
+    """Return the faults of the options beside the server's configuration."""
+    return built.fit(configuration.memory_mb)
 
 
 SHAPE = Shape(
--- a/valeturn/result_store/store.py
+++ b/valeturn/result_store/store.py
@@ -1,284 +1,339 @@
-"""The store as the owner of the module meets it: what a repeat meets, intents before starts, results after.
+"""The result store as the dispatcher uses it: look-ups, intents before executions, and results after them.
 
-All calls come from the owner's turn. The disk is reached through the helper alone; what came of it is taken
-with `collect`, also in the owner's turn, so that nothing here is ever seen half done.
+All calls come from the event loop. The disk is reached only through the worker thread, whose results are
+taken with `collect`, also on the event loop, so that no state here is ever seen half changed.
 """
 
 from __future__ import annotations
 
 import math
+from collections.abc import Callable
+from typing import Any, Final
 
 import blake3
 
 from . import compaction_policy, entry_states, records
-from .entry_states import ABSENT, EXECUTING, IN_DOUBT, INTENT_PENDING, STORED, LookupOutcome
+from .entry_states import ABSENT, EXECUTING, IN_DOUBT, INTENT_PENDING, STORED, EntryEffect, LookupOutcome
+from .environment import StoreEnvironment, StoreSettings
+from .events import INTENT_DURABLE, INTENT_LOST, RESULT_READ, StoreEvent
 from .limits import INTENT_SIZE, MAX_RECORD_SIZE
-from .log import Log, Queued
+from .log import HEALTHY, SegmentedLog
+from .pending_records import LiveEntry, QueuedRecord
 from .recovery import apply_record
 from .timing_wheel import TimingWheel
+from .worker import RecordRead
+
+# Keys that are expired in one sweep at most: 4 ms, ten times a second.
+EXPIRED_PER_SWEEP: Final = 2000
+# Shards whose rows enter the timing wheel in one sweep after a start: some thousand keys, 2 ms.
+SHARDS_REBUILT_PER_SWEEP: Final = 4
+# Bytes of log that one key takes at most: an intent and the longest result.
+RESERVED_SIZE: Final = MAX_RECORD_SIZE + INTENT_SIZE
+DIGEST_SIZE: Final = 16  # bytes
+MIN_RETRY_AFTER: Final = 0.01  # seconds, while the disk fails and its next attempt is due
+# Bound once: an attribute of an Enum is looked up slowly.
+_EXECUTE: Final = LookupOutcome.EXECUTE
+
+
+class Lookup:
+    """What the store knows of a request's key."""
+
+    __slots__ = ("digest", "entry", "outcome")
+
+    def __init__(self, outcome: LookupOutcome, digest: bytes, entry: LiveEntry | None = None) -> None:
+        self.outcome = outcome
+        self.digest = digest
+        self.entry = entry  # the entry whose execution is under way, where there is one
+
+
+class ResultStore(SegmentedLog):
+    """The results of idempotent requests, by key, over restarts of the server."""
+
+    def __init__(self, environment: StoreEnvironment, settings: StoreSettings) -> None:
+        """Open the directory.
+
+        Raises:
+            StoreRefusedError: The directory can't be used.
+            OSError: It can't be read.
+        """
+        super().__init__(environment, settings)
+        self.reservations: set[int] = set()  # ids of admitted requests whose intent is not logged yet
+        self.events: list[StoreEvent] = []
+        self.wheel = TimingWheel(self.clock.now())
+        self.rebuilt_shards = 0  # whose rows are in the wheel
+        self._worker_handlers[RecordRead] = self._on_record_read
+        self._effects: dict[EntryEffect, Callable[[LiveEntry], None]] = {
+            EntryEffect.WRITE_INTENT: self._write_intent,
+            EntryEffect.SEND: self._report_intent_durable,
+            EntryEffect.REJECT: self._report_intent_lost,
+            EntryEffect.WRITE_RESULT: self._write_result,
+            EntryEffect.WRITE_FAILED: self._write_failed,
+            EntryEffect.WRITE_UNSENT: self._write_unsent,
+        }
 
-EXPIRED_A_SWEEP = 2000  # keys forgotten in one sweep at the most: 4 ms, ten times a second
-REBUILT_A_SWEEP = 4  # shards whose rows go to the wheel after a start: some thousand keys, 2 ms
-PROMISED = (
-    MAX_RECORD_SIZE + INTENT_SIZE
-)  # bytes of log that one key takes at the most: an intent and the longest result
-
-
-class Live:
-    """An entry whose last record is not on the disk yet, or whose run is not over."""
-
-    __slots__ = ("body", "call", "digest", "number", "queued", "state", "until", "workload")
-
-    def __init__(self, number, digest, until, call, workload):
-        self.number, self.digest, self.until, self.call, self.workload = number, digest, until, call, workload
-        self.state, self.body, self.queued = ABSENT, None, 0  # records of it that wait for the disk
-
-
-class Meets:
-    """What a newcomer with a known key meets: a row of entry.MEETS, and where the answer lies."""
-
-    __slots__ = ("digest", "how", "live")
-
-    def __init__(self, how, digest, live=None):
-        self.how, self.digest, self.live = how, digest, live
-
-
-class Kept(Log):
-    def __init__(self, options, bounds, files, helper, moment, longest, count, log):
-        """As `Log`."""
-        super().__init__(options, bounds, files, helper, moment, longest, count, log)
-        self.promised, self.news = set(), []  # ids of those let in
-        self.wheel, self.rebuilt = TimingWheel(self.clock.now()), 0
-
-    # ---- keys and what they meet
-
-    def digest(self, workload, mark):
-        """16 bytes: what the folder's key makes of both names. Keys themselves never reach the disk."""
-        name = workload.encode()
-        text = len(name).to_bytes(2, "little") + name + mark.encode()
-        return blake3.blake3(text, key=self.key).digest(16)
-
-    def meets(self, digest, waited):
-        """What a newcomer that reached the machine `waited` seconds ago meets."""
-        reached = self.clock.now() - waited
-        live = self.live.get(digest)
-        if live is not None and live.state != ABSENT:
-            return Meets(
-                entry_states.LOOKUP_OUTCOMES[live.state] if live.until > reached else LookupOutcome.EXECUTE,
-                digest,
-                live,
-            )
+    # Keys and look-ups
+
+    def key_digest(self, request_class: str, idempotency_key: str) -> bytes:
+        """Return the keyed hash of a request class and its key; keys themselves never reach the disk."""
+        name = request_class.encode()
+        text = len(name).to_bytes(2, "little") + name + idempotency_key.encode()
+        return blake3.blake3(text, key=self.key).digest(DIGEST_SIZE)
+
+    def look_up(self, digest: bytes, waited: float) -> Lookup:
+        """Look up the key of a request that reached the server `waited` seconds ago."""
+        arrived = self.clock.now() - waited
+        entry = self.entries.get(digest)
+        if entry is not None and entry.state != ABSENT:
+            in_window = entry.until > arrived
+            return Lookup(entry_states.LOOKUP_OUTCOMES[entry.state] if in_window else _EXECUTE, digest, entry)
         row = self.index.get(digest)
-        if row is None or row.until <= reached:
-            return Meets(LookupOutcome.EXECUTE, digest)
-        return Meets(entry_states.LOOKUP_OUTCOMES[row.state], digest)
+        if row is None or row.until <= arrived:
+            return Lookup(_EXECUTE, digest)
+        return Lookup(entry_states.LOOKUP_OUTCOMES[row.state], digest)
 
-    def room_in(self):
-        """Seconds until one more key may be kept; 0 now."""
-        now, b = self.clock.now(), self.bounds
+    def retry_after(self) -> float:
+        """Return the seconds until one more key may be accepted; 0 where there is capacity now."""
+        now = self.clock.now()
         earliest = self.wheel.earliest()
+        unsettled = len(self.entries) + len(self.reservations)
+        disk_retry_in = 0.0
+        if self.health != HEALTHY:
+            disk_retry_in = max(MIN_RETRY_AFTER, self.retry_at - now)
         return compaction_policy.retry_after(
             compaction_policy.CapacityView(
-                keys=self.index.count + len(self.live) + len(self.promised),
-                max_keys=b.keys,
+                keys=self.index.count + unsettled,
+                max_keys=self.limits.keys,
                 used=self.used(),
-                reserved=(len(self.live) + len(self.promised)) * PROMISED,
+                reserved=unsettled * RESERVED_SIZE,
                 usable=self.usable(),
                 waiting=self.waiting(),
-                max_waiting=b.waiting,
-                in_doubt_for=self.found.in_doubt_until - now,
-                disk_retry_in=0.0
-                if self.health == compaction_policy.DiskHealth.HEALTHY
-                else max(0.01, self.retry_at - now),
+                max_waiting=self.limits.waiting,
+                in_doubt_for=self.recovered.in_doubt_until - now,
+                disk_retry_in=disk_retry_in,
                 earliest_end_in=0.0 if earliest is None else max(0.0, earliest - now),
             )
         )
 
-    def promise(self, number):
-        """Room is kept for one that was let in; `release` when it is over and never noted."""
-        self.promised.add(number)
+    def reserve(self, request_id: int) -> None:
+        """Reserve capacity for an admitted request, until its intent is logged or it is released."""
+        self.reservations.add(request_id)
 
-    def release(self, number):
-        self.promised.discard(number)
+    def release(self, request_id: int) -> None:
+        """Release the reservation of a request that is over and was never executed."""
+        self.reservations.discard(request_id)
 
-    # ---- the table's inputs
+    # Executions
 
-    def move(self, live, given):
-        found = entry_states.transition(live.state, given)
+    def _transition(self, entry: LiveEntry, entry_input: int) -> None:
+        found = entry_states.transition(entry.state, entry_input)
         if found is None:
-            self.count("store.no_move")
+            self.count("store.invalid_transitions")
             return
-        live.state, effect = found
+        entry.state, effect = found
         if effect is not None:
-            getattr(self, "do_" + effect)(live)
-
-    def note(self, number, digest, lasting, call, workload):
-        """The module starts it: its intent goes to the disk before anything goes to the executor."""
-        self.release(number)
-        until = math.ceil(self.clock.now() + lasting)
-        live = self.live[digest] = Live(number, digest, until, call, workload)
-        self.move(live, entry_states.START)
-
-    def over(self, number, digest, given, body=None):
-        """The run of a noted one is over: DONE with its result, ENDED without, or UNBEGUN. One whose window
-        ended while it ran, and whose key has run again, is nobody's any more."""
-        live = self.live.get(digest)
-        if live is None or live.number != number:
+            self._effects[effect](entry)
+
+    def log_intent(
+        self, request_id: int, digest: bytes, window: float, execution_id: bytes, request_class: str
+    ) -> None:
+        """Log that a request is about to be executed; it must not be sent before INTENT_DURABLE is reported.
+
+        Args:
+            request_id: The dispatcher's id of the request.
+            digest: The digest of its key.
+            window: The deduplication window in seconds from now.
+            execution_id: The execution's id, 8 bytes.
+            request_class: The name of the request's class.
+        """
+        self.release(request_id)
+        until = math.ceil(self.clock.now() + window)
+        entry = self.entries[digest] = LiveEntry(request_id, digest, until, execution_id, request_class)
+        self._transition(entry, entry_states.START)
+
+    def end_execution(
+        self, request_id: int, digest: bytes, entry_input: int, body: bytes | None = None
+    ) -> None:
+        """Log the end of an execution.
+
+        The end of one whose window is over and whose key was executed again since is ignored.
+
+        Args:
+            request_id: The request whose intent was logged.
+            digest: The digest of its key.
+            entry_input: SUCCEEDED, ENDED_WITHOUT_RESULT or NEVER_STARTED of `entry_states`.
+            body: The result, with SUCCEEDED.
+        """
+        entry = self.entries.get(digest)
+        if entry is None or entry.request_id != request_id:
             return
-        if given == entry_states.SUCCEEDED and self.waiting() + len(body) > self.bounds.waiting:
-            self.count("store.results_lost")  # the disk is behind: known as ended, without its result
-            given = entry_states.ENDED_WITHOUT_RESULT
-        live.body = body if given == entry_states.SUCCEEDED else None
-        self.move(live, given)
-
-    def told(self, call, given, body=None):
-        """The executor tells of a run from before the restart. False where none is known by that call."""
-        known = self.orphans.pop(call, None)
-        row = None if known is None else self.index.get(known[0])
-        if row is None or row.state != IN_DOUBT or known[0] in self.live:
+        entry.body = None
+        if entry_input == entry_states.SUCCEEDED:
+            assert body is not None
+            if self.waiting() + len(body) > self.limits.waiting:
+                # The disk is too far behind: the key is recorded as ended, without its result.
+                self.count("store.results_lost")
+                entry_input = entry_states.ENDED_WITHOUT_RESULT
+            else:
+                entry.body = body
+        self._transition(entry, entry_input)
+
+    def end_unfinished(self, execution_id: bytes, entry_input: int, body: bytes | None = None) -> bool:
+        """Log the end, reported by the executor, of an execution from before the start.
+
+        Return False where no unfinished execution has this id. The other arguments are those of
+        `end_execution`.
+        """
+        known = self.unfinished.pop(execution_id, None)
+        if known is None:
             return False
-        live = self.live[known[0]] = Live(0, known[0], row.until, call, known[1])
-        live.state = IN_DOUBT
-        self.count("store.settled")
-        self.over(0, known[0], given, body)
+        digest, request_class = known
+        row = self.index.get(digest)
+        if row is None or row.state != IN_DOUBT or digest in self.entries:
+            return False
+        entry = self.entries[digest] = LiveEntry(0, digest, row.until, execution_id, request_class)
+        entry.state = IN_DOUBT
+        self.count("store.doubts_resolved")
+        self.end_execution(0, digest, entry_input, body)
         return True
 
-    def unsettled(self, call):
-        """The workload of a run from before the restart, or None."""
-        known = self.orphans.get(call)
+    def unfinished_class(self, execution_id: bytes) -> str | None:
+        """Return the request class of an unfinished execution from before the start, or None."""
+        known = self.unfinished.get(execution_id)
         return None if known is None else known[1]
 
-    def do_write_intent(self, live):
-        self.queue(records.IntentRecord(live.digest, live.until, live.call, live.workload), live)
+    def _write_intent(self, entry: LiveEntry) -> None:
+        record = records.IntentRecord(entry.digest, entry.until, entry.execution_id, entry.request_class)
+        self.queue(record, entry)
 
-    def do_write_result(self, live):
-        self.queue(records.make_result(live.digest, live.until, live.body), live)
+    def _write_result(self, entry: LiveEntry) -> None:
+        assert entry.body is not None
+        self.queue(records.make_result(entry.digest, entry.until, entry.body), entry)
 
-    def do_write_failed(self, live):
-        self.queue(records.FailedRecord(live.digest, live.until), live)
+    def _write_failed(self, entry: LiveEntry) -> None:
+        self.queue(records.FailedRecord(entry.digest, entry.until), entry)
 
-    def do_write_unsent(self, live):
-        self.queue(records.UnsentRecord(live.digest), live)
+    def _write_unsent(self, entry: LiveEntry) -> None:
+        self.queue(records.UnsentRecord(entry.digest), entry)
 
-    def do_send(self, live):
-        self.news.append(("synced", live.number, None))
+    def _report_intent_durable(self, entry: LiveEntry) -> None:
+        self.events.append(StoreEvent(INTENT_DURABLE, entry.request_id, None))
 
-    def do_reject(self, live):
-        self.news.append(("unsynced", live.number, None))
+    def _report_intent_lost(self, entry: LiveEntry) -> None:
+        self.events.append(StoreEvent(INTENT_LOST, entry.request_id, None))
 
-    def fetch(self, number, meets):
-        """The kept result for a repeat: its bytes, or None where it is read by the helper and comes as
-        news."""
-        live = meets.live if meets.live is not None else self.live.get(meets.digest)
-        if live is not None and live.body is not None:
-            return live.body
-        row = self.index.get(meets.digest)
+    def fetch_result(self, request_id: int, lookup: Lookup) -> bytes | None:
+        """Return the stored result for a duplicate, or None where it comes later as a RESULT_READ event."""
+        entry = lookup.entry if lookup.entry is not None else self.entries.get(lookup.digest)
+        if entry is not None and entry.body is not None:
+            return entry.body
+        row = self.index.get(lookup.digest)
         if row is None:
-            self.news.append(("fetched", number, None))
+            self.events.append(StoreEvent(RESULT_READ, request_id, None))
         else:
-            self.helper.ask(
-                ("fetched", number, meets.digest), self.journal.read_record, row.segment, row.offset, row.size
-            )
+            request = RecordRead(request_id, lookup.digest)
+            self.worker.ask(request, self.writer.read_record, row.segment, row.offset, row.size)
         return None
 
-    # ---- the disk
-
-    def collect(self):
-        """Takes what the helper has done, and returns the news since: (kind, id, body) with kind `synced`:
-        send it; `unsynced`: it must not run; `fetched`: the result, or None."""
-        for what, got in self.helper.taken():
-            getattr(self, "on_" + what[0])(what, got)
-        news, self.news = self.news, []
-        return news
-
-    def _durable(self, one, offset):
-        record, live = one.record, one.live
-        apply_record(
-            self.found, self.active, offset, len(one.data), records.KIND_OF_TYPE[type(record)], record
-        )
-        if isinstance(record, (records.IntentRecord, records.ResultRecord, records.FailedRecord)):
+    # What the worker thread has done
+
+    def collect(self) -> list[StoreEvent]:
+        """Handle what the worker thread has done, and return the events since the last call."""
+        for request, result in self.worker.taken():
+            self._worker_handlers[type(request)](request, result)
+        events = self.events
+        self.events = []
+        return events
+
+    def _on_durable(self, queued: QueuedRecord, offset: int) -> None:
+        record = queued.record
+        kind = records.KIND_OF_TYPE[type(record)]
+        apply_record(self.recovered, self.active, offset, len(queued.data), kind, record)
+        if not isinstance(record, records.UnsentRecord):
             self.wheel.add(record.digest, record.until)
-        if live is None:
+        entry = queued.entry
+        if entry is None:
+            return
+        entry.queued -= 1
+        if entry.queued:
             return
-        live.queued -= 1
-        if isinstance(record, records.IntentRecord):
-            if live.state == INTENT_PENDING and live.queued == 0:
-                self.move(live, entry_states.INTENT_DURABLE)
-        if live.queued == 0 and live.state not in (INTENT_PENDING, EXECUTING):
-            self.forget(live)
-
-    def forget(self, live):
-        if self.live.get(live.digest) is live:
-            del self.live[live.digest]
-
-    def _given_back(self, taken):
-        """After a failed write: intents can't be waited for, the rest is written again elsewhere."""
+        if entry.state == INTENT_PENDING and isinstance(record, records.IntentRecord):
+            self._transition(entry, entry_states.INTENT_DURABLE)
+        if entry.state not in (INTENT_PENDING, EXECUTING):
+            self._forget(entry)
+
+    def _forget(self, entry: LiveEntry) -> None:
+        if self.entries.get(entry.digest) is entry:
+            del self.entries[entry.digest]
+
+    def _on_not_durable(self, batch: list[QueuedRecord]) -> None:
+        """Reject pending intents, as requests can't wait for the disk, and queue all other records again."""
         again = []
-        for one in taken + self.pending:
-            live = one.live
-            if isinstance(one.record, records.IntentRecord) and live is not None:
-                live.queued -= 1
-                if live.state == INTENT_PENDING:
-                    self.move(live, entry_states.INTENT_LOST)
-                if live.queued == 0 and live.state == ABSENT:
-                    self.forget(live)
-                    # It may be on the disk whole: said to be unsent once the disk takes writes again.
-                    again.append(Queued(records.UnsentRecord(live.digest), None))
-            else:
-                again.append(one)
-        self.pending, self.pending_bytes = again, sum(len(one.data) for one in again)
-
-    def on_fetched(self, what, got):
-        if isinstance(got, OSError):
-            self.failed("read", got)
-            got = None
-        if isinstance(got, records.ResultRecord) and got.digest == what[2]:
-            self.news.append(("fetched", what[1], got.body))
+        for queued in batch + self.pending:
+            entry = queued.entry
+            if entry is None or not isinstance(queued.record, records.IntentRecord):
+                again.append(queued)
+                continue
+            entry.queued -= 1
+            if entry.state == INTENT_PENDING:
+                self._transition(entry, entry_states.INTENT_LOST)
+            if entry.queued == 0 and entry.state == ABSENT:
+                self._forget(entry)
+                # The intent may be on the disk whole: recorded as unsent once the disk accepts writes.
+                again.append(QueuedRecord(records.UnsentRecord(entry.digest), None))
+        self.pending = again
+        self.pending_bytes = sum(len(queued.data) for queued in again)
+
+    def _on_record_read(self, request: RecordRead, result: Any) -> None:  # noqa: ANN401 (a record or an error)
+        if isinstance(result, OSError):
+            self._report_failure("read", result)
+            result = None
+        if isinstance(result, records.ResultRecord) and result.digest == request.digest:
+            self.events.append(StoreEvent(RESULT_READ, request.request_id, result.body))
             return
-        live = self.live.get(what[2])
-        row = self.index.get(what[2])
-        if live is None and row is not None and row.state == STORED and got is not None:
-            # Compaction moved it between the question and the reading.
-            self.helper.ask(what, self.journal.read_record, row.segment, row.offset, row.size)
+        row = self.index.get(request.digest)
+        moved = row is not None and row.state == STORED and result is not None
+        if row is not None and moved and request.digest not in self.entries:
+            # Compaction moved the record between the request and the reading.
+            self.worker.ask(request, self.writer.read_record, row.segment, row.offset, row.size)
             return
-        self.count("store.unreadable")
-        self.news.append(("fetched", what[1], None))
+        self.count("store.unreadable_records")
+        self.events.append(StoreEvent(RESULT_READ, request.request_id, None))
 
-    # ---- in the background
+    # In the background
 
-    def upkeep(self):
-        """Ten times a second: forgets what is over, tries a disk that failed, goes on with the log's work."""
+    def maintain(self) -> None:
+        """Expire keys, retry a failed disk and step the background job; called ten times a second."""
         now = self.clock.now()
-        for digest in self.wheel.pop_due(now - compaction_policy.LATE_READ_GRACE, EXPIRED_A_SWEEP):
+        for digest in self.wheel.pop_due(now - compaction_policy.LATE_READ_GRACE, EXPIRED_PER_SWEEP):
             self._expire(digest, now)
-        for _ in range(REBUILT_A_SWEEP):
-            if self.rebuilt < len(self.index.shards):
-                for row in self.index.shard_rows(self.rebuilt):
+        for _ in range(SHARDS_REBUILT_PER_SWEEP):
+            if self.rebuilt_shards < len(self.index.shards):
+                for row in self.index.shard_rows(self.rebuilt_shards):
                     self.wheel.add(row.digest, row.until)
-                self.rebuilt += 1
-        self.work(now)
+                self.rebuilt_shards += 1
+        self._step_background(now)
 
-    def _expire(self, digest, now):
+    def _expire(self, digest: bytes, now: float) -> None:
         row = self.index.get(digest)
-        if row is None or digest in self.live:
+        if row is None or digest in self.entries:
             return
-        if row.until + compaction_policy.LATE_READ_GRACE > now:  # its window grew
+        if row.until + compaction_policy.LATE_READ_GRACE > now:  # Its window was extended.
             self.wheel.add(digest, row.until)
         elif entry_states.transition(row.state, entry_states.WINDOW_ENDED) is not None:
             self.index.remove(digest)
-            self.found.unfinished.pop(digest, None)
-            self.count("store.expired")
+            self.recovered.unfinished.pop(digest, None)
+            self.count("store.keys_expired")
 
-    def figures(self):
-        """For the counters and the commands."""
+    def figures(self) -> dict[str, Any]:
+        """Return figures for the counters and for `status`, whose answer has these keys."""
         return {
             "keys": self.index.count,
-            "live": len(self.live),
+            "live": len(self.entries),
             "log_mb": self.used() / 1e6,
-            "segments": len(self.found.segments),
+            "segments": len(self.recovered.segments),
             "index_mb": self.index.memory_bytes() / 1e6,
             "waiting": self.waiting(),
-            "unsettled": len(self.found.unfinished),
-            "disk": self.health,
-            "unsure_s": max(0.0, self.found.in_doubt_until - self.clock.now()),
+            "unsettled": len(self.recovered.unfinished),
+            "disk": str(self.health),
+            "unsure_s": max(0.0, self.recovered.in_doubt_until - self.clock.now()),
         }
--- a/valeturn/server/components/result_store.py
+++ b/valeturn/server/components/result_store.py
@@ -5,8 +5,9 @@
 from ...dispatch.messages import DiskNews
 from ...result_store import limits, window_clock
 from ...result_store.directory import StoreDirectory
+from ...result_store.environment import StoreEnvironment, StoreSettings
 from ...result_store.errors import StoreRefusedError
-from ...result_store.store import Kept
+from ...result_store.store import ResultStore
 from ...transport.streams import Stream
 from ...transport.worker_thread import Helper
 from ..configuration import Wrong
@@ -25,26 +26,24 @@
         try:
             if not files.prepare():
                 raise Wrong(f"store: {built.folder}: another process has it")
-            self.kept = Kept(
-                built,
-                derived,
+            environment = StoreEnvironment(
                 files,
                 Helper(),
                 lambda: window_clock.read_clocks(boot_id),
-                longest,
                 server.counters.add,
                 server.log,
             )
+            self.kept = ResultStore(environment, StoreSettings(derived, built.retry, longest))
         except (StoreRefusedError, OSError) as error:
             raise Wrong(f"store: {built.folder}: {error}") from None
-        server.log("store_opened", {**self.kept.figures(), "records_read": self.kept.found.record_count})
+        server.log("store_opened", {**self.kept.figures(), "records_read": self.kept.recovered.record_count})
 
     def start(self):
         self.server.scheduler.spawn(self.hear_the_disk, name="disk")
 
     def hear_the_disk(self):
         """Tells the owner of the module that the store's helper has done something."""
-        stream = Stream(self.server.scheduler, self.kept.helper.end)
+        stream = Stream(self.server.scheduler, self.kept.worker.end)
         while isinstance(stream.read(), bytes):
             self.server.core.put(DiskNews())
 
