--- a/tests/disk.py
+++ b/tests/result_store/memory_disk.py
@@ -148,7 +148,7 @@
         self.disk, self.wall, self.boot, self.boot_id = Disk(), 1_800_000_000.0, 1000.0, "first"
         self.limits, self.longest = limits.derive_limits(disk, memory, segment), longest
         self.counts, self.logged, self.retry = {}, [], 1.0
-        self.kept = self.files = None
+        self.store = self.files = None
 
     def pass_time(self, seconds):
         self.wall, self.boot = self.wall + seconds, self.boot + seconds
@@ -171,10 +171,10 @@
             self.count,
             lambda event, fields=None, fault=None: self.logged.append((event, fields)),
         )
-        self.kept = ResultStore(environment, StoreSettings(self.limits, self.retry, self.longest))
+        self.store = ResultStore(environment, StoreSettings(self.limits, self.retry, self.longest))
         if not held:
-            self.kept.collect()
-        return self.kept
+            self.store.collect()
+        return self.store
 
     def kill(self):
         self.disk.crash()
@@ -187,43 +187,70 @@
 
     def begin(self, key, number, window=30.0):
         """How a newcomer fares: what it meets, or `refused`, or `started` once its intent is durable."""
-        digest = self.kept.key_digest("book", key)
-        meets = self.kept.look_up(digest, 0.0)
+        digest = self.store.key_digest("book", key)
+        meets = self.store.look_up(digest, 0.0)
         if meets.outcome != "execute":
             return meets.outcome
-        if self.kept.retry_after():
+        if self.store.retry_after():
             return "refused"
-        self.kept.log_intent(number, digest, window, number.to_bytes(8, "big"), "book")
-        self.kept.flush()
-        news = self.kept.collect()
+        self.store.log_intent(number, digest, window, number.to_bytes(8, "big"), "book")
+        self.store.flush()
+        news = self.store.collect()
         return "started" if ("intent_durable", number, None) in news else "refused"
 
     def finish(self, key, number, given, body=None):
-        self.kept.end_execution(number, self.kept.key_digest("book", key), given, body)
-        self.kept.flush()
-        return self.kept.collect()
+        self.store.end_execution(number, self.store.key_digest("book", key), given, body)
+        self.store.flush()
+        return self.store.collect()
 
     def ask(self, key):
         """(what a repeat meets, the result where there is one)"""
-        meets = self.kept.look_up(self.kept.key_digest("book", key), 0.0)
+        meets = self.store.look_up(self.store.key_digest("book", key), 0.0)
         if meets.outcome != "answer":
             return meets.outcome, None
-        body = self.kept.fetch_result(99, meets)
+        body = self.store.fetch_result(99, meets)
         if body is None:
-            news = [news for news in self.kept.collect() if news[0] == "result_read"]
+            news = [news for news in self.store.collect() if news[0] == "result_read"]
             body = news[0][2] if news else None
         return "answer", body
 
     def tend(self, sweeps=200, seconds=0.1):
         for _ in range(sweeps):
             self.pass_time(seconds)
-            self.kept.maintain()
-            self.kept.collect()
+            self.store.maintain()
+            self.store.collect()
 
-    def kept_run(self, key, number, body=b"r", window=30.0):
+    def complete(self, key, number, body=b"r", window=30.0):
         assert self.begin(key, number, window) == "started", (key, number)
         self.finish(key, number, 3, body)
 
 
 def seeded(*what):
     return random.Random(repr(what))
+
+
+def log_files(machine):
+    return {
+        name: machine.disk.data[key] for name, key in machine.disk.now_names.items() if name.endswith(".log")
+    }
+
+
+def events(machine):
+    return [event for event, _ in machine.logged]
+
+
+def key_of(machine):
+    return machine.disk.data[machine.disk.now_names["key"]]
+
+
+def filled(count=60, window=30.0, segment=3000):
+    machine = Machine()
+    machine.limits = machine.limits._replace(segment=segment)
+    machine.start()
+    for number in range(1, count + 1):
+        machine.complete(f"k{number}", number, b"body %d" % number, window)
+    return machine
+
+
+def same_answers(machine, count=60):
+    return all(machine.ask(f"k{n}") == ("answer", b"body %d" % n) for n in range(1, count + 1))
--- a/tests/result_store/test_keyed_results.py
+++ b/tests/result_store/test_idempotent_requests.py
@@ -1,8 +1,8 @@
 """Deduplicated work with a store: the owner of the module across kills, failing disks, drains and repeats."""
 
 import pytest
-from disk import Machine, seeded
 from helpers import Caller, Ends
+from memory_disk import Machine, seeded
 
 from valeturn.admission import interface as it
 from valeturn.admission.controller import Rules
@@ -29,8 +29,8 @@
 
     def start(self, held=False):
         self.born += 1
-        self.kept = self.machine.start(held)
-        self.ends = Ends(kept=self.kept, **self.changes)
+        self.store = self.machine.start(held)
+        self.ends = Ends(kept=self.store, **self.changes)
         self.ends.numbers = 1000 * self.born  # calls are new after a restart too
         if self.real:
             self.ends.core.rules = Rules(self.ends.settings, 1, self.ends.now)
@@ -45,7 +45,7 @@
 
     def disk(self, steps=None):
         """The helper does so many jobs, and the owner hears of them."""
-        self.kept.worker.step(steps)
+        self.store.worker.step(steps)
         self.ends.turn(msg.DiskNews())
 
     def commands(self, kind="EXEC"):
@@ -68,7 +68,7 @@
     assert world.caller.answers == [(1001, DELIVERED, b"result")], "the answer does not wait for the disk"
 
 
-def test_other_work_and_work_without_a_mark_does_not_wait():
+def test_requests_without_idempotency_key_do_not_wait_for_the_disk():
     world = World(held=True)
     _, read = world.arrive(workload="read", do=[it.Start])
     _, file = world.arrive(workload="file", do=[it.Start])
@@ -86,19 +86,19 @@
         ("between result and answer", DELIVERED),
     ],
 )
-def test_a_kill_at_each_point_and_the_repeat_that_follows(at, answered):
+def test_duplicate_after_kill_at_each_point_is_answered_consistently(at, answered):
     world = World(held=True)
     world.disk()
     _, call = world.arrive()
     if at == "between intent and start":
-        world.kept.worker.step()
+        world.store.worker.step()
     elif at != "before the intent":
         world.disk()
         assert world.commands() == [call]
         if at != "between start and end":
             world.ends.turn(over(call))
             if at == "between result and answer":
-                world.kept.worker.step()  # durable; take the answer as one that a broken connection lost
+                world.store.worker.step()  # durable; take the answer as one that a broken connection lost
     world.restart()
     caller = Caller()
     number, again = world.arrive(caller=caller, do=None if answered == "runs" else [it.AnswerFrom])
@@ -114,7 +114,7 @@
     assert world.ends.heard[-1] == it.Ended(number, outcome, 0.0) and not world.ends.core.open
 
 
-def test_one_key_on_three_connections_at_once_before_and_after_a_restart():
+def test_one_key_on_three_connections_is_executed_once_over_a_restart():
     world, callers = World(), [Caller() for _ in range(3)]
     first, call = world.arrive(caller=callers[0])
     world.disk()
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("what", ["write", "sync"])
-def test_what_can_t_be_noted_down_is_turned_back_with_its_repeats_and_told_when_to_come(what):
+def test_intent_that_can_t_be_logged_is_rejected_with_retry_after(what):
     world = World(real=True)
     world.disk()
     world.machine.files.fail[what] = (1, 5)
@@ -151,14 +151,14 @@
     assert codes(late) == [TURNED_BACK] and 0.9 <= late.retry_in <= 1.0, "the disk rests for a second"
     for _ in range(20):  # the disk takes writes again
         world.machine.pass_time(0.1)
-        world.kept.maintain()
+        world.store.maintain()
         world.disk()
     _, call = world.arrive(caller=Caller())
     world.disk()
     assert world.commands() == [call] and not world.ends.counts.get("errors.core")
 
 
-def test_a_halt_while_the_intent_is_on_its_way_sends_nothing_and_a_repeat_runs():
+def test_cancellation_before_intent_is_durable_sends_nothing():
     world = World(held=True)
     world.disk()
     number, call = world.arrive()
@@ -177,7 +177,7 @@
     assert codes(late) == [WRITTEN_OFF], "the second one ran"
 
 
-def test_a_drain_with_intents_that_are_not_durable_answers_all_and_runs_none_late():
+def test_shutdown_with_pending_intents_answers_all_and_executes_none():
     world = World(held=True, real=True)
     world.disk()
     for n in range(3):
@@ -190,14 +190,14 @@
     world.disk()
     world.ends.turn()
     assert world.commands() == [], "durable at last, and nobody waits for it"
-    world.kept.worker.held = False
+    world.store.worker.held = False
     world.disk()
-    assert world.kept.close(1.0)
+    assert world.store.close(1.0)
     world.restart()
-    assert world.kept.index.count == 0, "said to be unsent"
+    assert world.store.index.count == 0, "said to be unsent"
 
 
-def test_the_executor_s_word_from_before_the_restart_answers_the_repeat():
+def test_executor_report_from_before_restart_answers_duplicate():
     world = World()
     _, call = world.arrive()
     _, file = world.arrive(workload="file", mark=None, do=[it.Start])
@@ -213,7 +213,7 @@
     assert caller.answers[0][1:] == (DELIVERED, b"from before")
 
 
-def test_a_run_from_before_that_stands_at_its_call_is_ended_as_the_call_may_have_been_made():
+def test_unfinished_execution_at_its_downstream_call_is_ended_after_restart():
     world = World()
     _, call = world.arrive()
     world.restart()
@@ -226,7 +226,7 @@
     assert codes(caller) == [WRITTEN_OFF]
 
 
-def test_a_result_that_can_t_be_read_is_written_off_and_one_that_is_late_is_given_up_by_the_module():
+def test_unreadable_result_fails_and_late_result_is_given_up():
     world = World()
     _, call = world.arrive()
     world.ends.turn(over(call))
@@ -237,7 +237,7 @@
     world.arrive(caller=caller, do=[it.AnswerFrom])
     world.disk()
     assert codes(caller) == [WRITTEN_OFF]
-    world.kept.worker.held = True  # a disk that hangs
+    world.store.worker.held = True  # a disk that hangs
     caller = Caller()
     number, _ = world.arrive(caller=caller, do=[it.AnswerFrom])
     world.ends.turn(msg.Told(it.Woken(0, None)), do=[it.WriteOff(number)])
@@ -246,7 +246,7 @@
     assert codes(caller) == [WRITTEN_OFF], "one answer"
 
 
-def test_a_module_that_fails_leaves_the_store_with_what_is_so():
+def test_failing_admission_controller_leaves_store_consistent():
     world = World(held=True)
     world.disk()
     _, sent = world.arrive("sent")
@@ -258,11 +258,11 @@
     world.disk()
     assert world.commands() == [sent] and world.commands("KILL") == [sent]
     world.restart()
-    assert world.kept.look_up(world.kept.key_digest("book", "sent"), 0.0).outcome == "fail"
-    assert world.kept.look_up(world.kept.key_digest("book", "on its way"), 0.0).outcome == "execute"
+    assert world.store.look_up(world.store.key_digest("book", "sent"), 0.0).outcome == "fail"
+    assert world.store.look_up(world.store.key_digest("book", "on its way"), 0.0).outcome == "execute"
 
 
-def test_without_a_store_a_full_table_of_repeats_turns_back_instead_of_running_unmarked():
+def test_full_deduplication_table_without_store_rejects_requests():
     caller = Caller()
     ends = Ends()
     ends.core.rules = Rules(ends.settings, 1, ends.now)
@@ -274,7 +274,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_effect_twice_and_one_answer_each_over_restarts(seed):
+def test_no_key_executes_twice_and_each_request_has_one_answer_over_restarts(seed):
     """The real module and store, an executor that outlives both, kills at any moment and a disk that
     fails."""
     chance, world = seeded("keyed", seed), World(held=True, real=True)
@@ -300,7 +300,7 @@
             ends.turn(lines.Gauged(REPLAY_END, ()))
         if step % 5 == 0:
             ends.turn(msg.Told(it.Woken(0, it.Gauges())))
-            world.kept.maintain()
+            world.store.maintain()
         for line in ends.lines[seen:]:
             if line["t"] == "EXEC":
                 mark = streams[line["rid"]][1]
