--- a/tests/result_store/memory_disk.py
+++ b/tests/result_store/memory_disk.py
@@ -1,5 +1,4 @@
-"""A disk in memory, and a store on it: fails where a test wants it to, and loses what was not durable in a
-crash."""
+"""A disk in memory, which fails and crashes as a test wants, and a store on it."""
 
 import errno
 import random
@@ -10,35 +9,40 @@
 from valeturn.transport.worker_thread import Inline
 
 
-class Disk:
-    """What outlives a process. `names`: what the folder durably has; the files' bytes and how many of them
-    are durable stand in `data` and `synced`, by an id that a rename keeps."""
+class MemoryDisk:
+    """What outlives a process.
+
+    `names` are the durable entries of the directory and `now_names` the current ones; `data` and `synced`
+    hold the files' bytes and how many of them are durable, by an id that a rename keeps.
+    """
 
     def __init__(self):
         self.names, self.now_names, self.data, self.synced = {}, {}, {}, {}
         self.ops, self.next, self.locked, self.log = [], 0, False, []
 
-    def crash(self, chance=None):
-        """The process is killed; with a chance the machine loses its power, and what was not synced is kept
-        in part: of the folder's changes a first few, of each file's bytes a part, here and there with other
-        bytes."""
+    def crash(self, random_source=None):
+        """Kill the process or, with a random source, cut the machine's power.
+
+        What was not synced then stays in part: the first few changes of the directory, and a part of each
+        file's bytes, some of them changed.
+        """
         self.locked = False
-        if chance is None:
+        if random_source is None:
             self.names, self.ops = dict(self.now_names), []
             self.synced = {key: len(data) for key, data in self.data.items()}
             return
-        for change in self.ops[: chance.randrange(len(self.ops) + 1)]:
+        for change in self.ops[: random_source.randrange(len(self.ops) + 1)]:
             change(self.names)
         self.ops, self.now_names = [], dict(self.names)
         for key, data in self.data.items():
             rest = len(data) - self.synced[key]
-            del data[self.synced[key] + chance.randrange(rest + 1) :]
-            if rest and len(data) > self.synced[key] and chance.random() < 0.3:
-                data[chance.randrange(self.synced[key], len(data))] ^= 0x55
+            del data[self.synced[key] + random_source.randrange(rest + 1) :]
+            if rest and len(data) > self.synced[key] and random_source.random() < 0.3:
+                data[random_source.randrange(self.synced[key], len(data))] ^= 0x55
             self.synced[key] = len(data)
 
 
-class Files:
+class FailingDirectory:
     """A StoreDirectory on a Disk. fail: name of an operation -> how many more of it fail, with
     which error; a descriptor whose sync failed must never be used again."""
 
@@ -145,7 +149,7 @@
     """Clocks that a test moves, and starts of a store on one disk."""
 
     def __init__(self, disk=1_000_000, memory=2_000_000, segment=65_536, longest=30.0):
-        self.disk, self.wall, self.boot, self.boot_id = Disk(), 1_800_000_000.0, 1000.0, "first"
+        self.disk, self.wall, self.boot, self.boot_id = MemoryDisk(), 1_800_000_000.0, 1000.0, "first"
         self.limits, self.longest = limits.derive_limits(disk, memory, segment), longest
         self.counts, self.logged, self.retry = {}, [], 1.0
         self.store = self.files = None
@@ -160,8 +164,8 @@
         self.counts[name] = self.counts.get(name, 0) + amount
 
     def start(self, held=False):
-        """A store as a server that starts has it."""
-        self.files = Files(self.disk)
+        """Open a store as a server that starts does."""
+        self.files = FailingDirectory(self.disk)
         assert self.files.prepare()
         self.logged = []
         environment = StoreEnvironment(
@@ -179,14 +183,14 @@
     def kill(self):
         self.disk.crash()
 
-    def lose_power(self, chance, down=5.0):
-        self.disk.crash(chance)
-        self.wall, self.boot, self.boot_id = self.wall + down, 1.0, f"boot {chance.random()}"
+    def lose_power(self, random_source, down=5.0):
+        self.disk.crash(random_source)
+        self.wall, self.boot, self.boot_id = self.wall + down, 1.0, f"boot {random_source.random()}"
 
-    # ---- what a server does with it, in one go
+    # What a server does with the store, in one call.
 
     def begin(self, key, number, window=30.0):
-        """How a newcomer fares: what it meets, or `refused`, or `started` once its intent is durable."""
+        """Return the outcome of a new request's look-up, `refused`, or `started` once durable."""
         digest = self.store.key_digest("book", key)
         meets = self.store.look_up(digest, 0.0)
         if meets.outcome != "execute":
@@ -204,7 +208,7 @@
         return self.store.collect()
 
     def ask(self, key):
-        """(what a repeat meets, the result where there is one)"""
+        """Return the outcome of a duplicate's look-up, and the result where there is one."""
         meets = self.store.look_up(self.store.key_digest("book", key), 0.0)
         if meets.outcome != "answer":
             return meets.outcome, None
--- a/tests/result_store/test_idempotent_requests.py
+++ b/tests/result_store/test_idempotent_requests.py
@@ -1,4 +1,4 @@
-"""Deduplicated work with a store: the owner of the module across kills, failing disks, drains and repeats."""
+"""Idempotent requests with a store: the dispatcher across kills, failing disks, shutdowns and duplicates."""
 
 import pytest
 from helpers import Caller, Ends
--- a/tests/result_store/test_records.py
+++ b/tests/result_store/test_records.py
@@ -1,6 +1,6 @@
 """Frames of the log."""
 
-from valeturn.result_store import records, recovery
+from valeturn.result_store import records, segment_scan
 
 
 def test_frame_of_another_segment_or_with_wrong_length_is_not_read():
@@ -9,5 +9,8 @@
     assert (
         records.read_frame(data[:-1], 0, 3) is None and records.read_frame_header(b"\xff" * 16, 0, 3) is None
     )
-    got = recovery.scan(data + b"\1" * 40 + records.encode_frame(3, 10, b"more"), 3, 0, None, True)
-    assert [frame.sequence for frame in got.frames] == [8, 10] and got.verdict == recovery.ScanVerdict.DAMAGED
+    got = segment_scan.scan(data + b"\1" * 40 + records.encode_frame(3, 10, b"more"), 3, 0, None, True)
+    assert [frame.sequence for frame in got.frames] == [
+        8,
+        10,
+    ] and got.verdict == segment_scan.ScanVerdict.DAMAGED
--- a/valeturn/result_store/__init__.py
+++ b/valeturn/result_store/__init__.py
@@ -1,6 +1,10 @@
-"""Results of deduplicated submissions, kept on disk over restarts of a server in place.
+"""Results of idempotent requests, stored on disk, so that duplicates are answered over restarts.
 
-Decisions without I/O: `entry` (the states of a kept key), `upkeep` (what to do with the log), `recovery`
-(what a log that was found says), `clock`, `index`, `wheel`. Bytes: `records`. I/O: `files`, `helper`,
-`journal`. `kept` puts them together for the owner of the module.
+A write-ahead log of intents and results in segments, an index in memory, snapshots of it, and compaction.
+
+Decisions without I/O: `entry_states` (the states of an entry), `compaction_policy` (upkeep of the log, and
+capacity), `segment_scan` and `recovery` (what the bytes of a log mean), `window_clock`, `index`,
+`timing_wheel`, `limits`. Bytes on disk: `records`, `snapshot`. I/O: `directory`, `disk_jobs` (done by the
+worker thread), `opening`. `log` writes the log and runs the jobs of `log_jobs`; `store` is what
+the dispatcher uses.
 """
--- a/valeturn/result_store/log.py
+++ b/valeturn/result_store/log.py
@@ -157,11 +157,10 @@
         """Ask for the next segment and return it; its head tells the sizes of those before."""
         self.recovered.last_segment += 1
         number = self.recovered.last_segment
-        timestamp = self.clock.read()
         head = records.SegmentHead(
             number,
             tuple(self.segment_ends),
-            timestamp.boot_id,
+            self.clock.read().boot_id,
             key_check(self.key),
             max(self.settings.longest_window, self.recovered.longest_window),
         )
