--- a/tests/degradation/test_degradation.py
+++ b/tests/degradation/test_degradation.py
@@ -4,7 +4,7 @@
 import random
 
 import pytest
-from degradation_support import LEVEL, SHAPES
+from degradation_support import LEVEL, SCHEMAS
 from helpers import WORKLOADS, Caller, Ends, Model, settings
 from program_support import CONFIG
 
--- a/tests/degradation/test_degradation_options.py
+++ b/tests/degradation/test_degradation_options.py
@@ -1,12 +1,12 @@
 """Sections of levels are checked by themselves, beside each other and in a deployment."""
 
 import pytest
-from degradation_support import LEVEL, SHAPES
+from degradation_support import LEVEL, SCHEMAS
 from program_support import CONFIG, changed
 
 from valeturn.admission.controller import MEMORY_RUN
 from valeturn.degradation import reachability
-from valeturn.degradation.options import fit
+from valeturn.degradation.options import check_deployment
 from valeturn.operator_config import schema
 from valeturn.server import configuration
 
@@ -26,8 +26,8 @@
 
 
 def faults_of(text, config=CONFIG):
-    options, faults = schema.check(text, "v.ini", SHAPES)
-    return faults or fit(options.get("level"), configuration.decode(config))
+    options, faults = schema.check(text, "v.ini", SCHEMAS)
+    return faults or check_deployment(options.get("level"), configuration.decode(config))
 
 
 @pytest.mark.parametrize("text", FAULTY_LEVELS)
--- a/tests/degradation_support.py
+++ b/tests/degradation_support.py
@@ -7,7 +7,7 @@
 
 BYPASS_CALLS = it.Reduced(without_call=frozenset((0,)))
 REJECT_CLASS = it.Reduced(turn_back=frozenset((0,)))
-SHAPES = [module.SCHEMA for module in components.options_modules().values()]
+SCHEMAS = [module.SCHEMA for module in components.options_modules().values()]
 NO_READINGS = dict.fromkeys(
     ("calls.latency", "calls.failing", "cores.busy", "unread.wait", "memory", "turned_back")
 )
--- a/tests/disk.py
+++ b/tests/result_store/memory_disk.py
@@ -1,44 +1,49 @@
-"""A disk in memory, and a store on it: fails where a test wants it to, and loses what was not durable in a
-crash."""
+"""A disk in memory, which fails and crashes as a test wants, and a store on it."""
 
 import errno
 import random
 
 from valeturn.result_store import limits, window_clock
-from valeturn.result_store.store import Kept
+from valeturn.result_store.environment import StoreEnvironment, StoreSettings
+from valeturn.result_store.store import ResultStore
 from valeturn.transport.worker_thread import Inline
 
 
-class Disk:
-    """What outlives a process. `names`: what the folder durably has; the files' bytes and how many of them
-    are durable stand in `data` and `synced`, by an id that a rename keeps."""
+class MemoryDisk:
+    """What outlives a process.
+
+    `names` are the durable entries of the directory and `now_names` the current ones; `data` and `synced`
+    hold the files' bytes and how many of them are durable, by an id that a rename keeps.
+    """
 
     def __init__(self):
         self.names, self.now_names, self.data, self.synced = {}, {}, {}, {}
         self.ops, self.next, self.locked, self.log = [], 0, False, []
 
-    def crash(self, chance=None):
-        """The process is killed; with a chance the machine loses its power, and what was not synced is kept
-        in part: of the folder's changes a first few, of each file's bytes a part, here and there with other
-        bytes."""
+    def crash(self, random_source=None):
+        """Kill the process or, with a random source, cut the machine's power.
+
+        What was not synced then stays in part: the first few changes of the directory, and a part of each
+        file's bytes, some of them changed.
+        """
         self.locked = False
-        if chance is None:
+        if random_source is None:
             self.names, self.ops = dict(self.now_names), []
             self.synced = {key: len(data) for key, data in self.data.items()}
             return
-        for change in self.ops[: chance.randrange(len(self.ops) + 1)]:
+        for change in self.ops[: random_source.randrange(len(self.ops) + 1)]:
             change(self.names)
         self.ops, self.now_names = [], dict(self.names)
         for key, data in self.data.items():
             rest = len(data) - self.synced[key]
-            del data[self.synced[key] + chance.randrange(rest + 1) :]
-            if rest and len(data) > self.synced[key] and chance.random() < 0.3:
-                data[chance.randrange(self.synced[key], len(data))] ^= 0x55
+            del data[self.synced[key] + random_source.randrange(rest + 1) :]
+            if rest and len(data) > self.synced[key] and random_source.random() < 0.3:
+                data[random_source.randrange(self.synced[key], len(data))] ^= 0x55
             self.synced[key] = len(data)
 
 
-class Files:
-    """result_store.directory.Files on a Disk. fail: name of an operation -> how many more of it fail, with
+class FailingDirectory:
+    """A StoreDirectory on a Disk. fail: name of an operation -> how many more of it fail, with
     which error; a descriptor whose sync failed must never be used again."""
 
     def __init__(self, disk):
@@ -144,87 +149,112 @@
     """Clocks that a test moves, and starts of a store on one disk."""
 
     def __init__(self, disk=1_000_000, memory=2_000_000, segment=65_536, longest=30.0):
-        self.disk, self.wall, self.boot, self.boot_id = Disk(), 1_800_000_000.0, 1000.0, "first"
-        self.limits, self.longest = limits.derive(disk, memory, segment), longest
+        self.disk, self.wall, self.boot, self.boot_id = MemoryDisk(), 1_800_000_000.0, 1000.0, "first"
+        self.limits, self.longest = limits.derive_limits(disk, memory, segment), longest
         self.counts, self.logged, self.retry = {}, [], 1.0
-        self.kept = self.files = None
+        self.store = self.files = None
 
     def pass_time(self, seconds):
         self.wall, self.boot = self.wall + seconds, self.boot + seconds
 
     def moment(self):
-        return window_clock.Moment(self.wall, self.boot, self.boot_id)
+        return window_clock.ClockReading(self.wall, self.boot, self.boot_id)
 
     def count(self, name, amount=1):
         self.counts[name] = self.counts.get(name, 0) + amount
 
     def start(self, held=False):
-        """A store as a server that starts has it."""
-        self.files = Files(self.disk)
+        """Open a store as a server that starts does."""
+        self.files = FailingDirectory(self.disk)
         assert self.files.prepare()
         self.logged = []
-        self.kept = Kept(
-            self,
-            self.limits,
+        environment = StoreEnvironment(
             self.files,
             Inline(held),
             self.moment,
-            self.longest,
             self.count,
             lambda event, fields=None, fault=None: self.logged.append((event, fields)),
         )
+        self.store = ResultStore(environment, StoreSettings(self.limits, self.retry, self.longest))
         if not held:
-            self.kept.collect()
-        return self.kept
+            self.store.collect()
+        return self.store
 
     def kill(self):
         self.disk.crash()
 
-    def lose_power(self, chance, down=5.0):
-        self.disk.crash(chance)
-        self.wall, self.boot, self.boot_id = self.wall + down, 1.0, f"boot {chance.random()}"
+    def lose_power(self, random_source, down=5.0):
+        self.disk.crash(random_source)
+        self.wall, self.boot, self.boot_id = self.wall + down, 1.0, f"boot {random_source.random()}"
 
-    # ---- what a server does with it, in one go
+    # What a server does with the store, in one call.
 
     def begin(self, key, number, window=30.0):
-        """How a newcomer fares: what it meets, or `refused`, or `started` once its intent is durable."""
-        digest = self.kept.digest("book", key)
-        meets = self.kept.meets(digest, 0.0)
-        if meets.how != "run":
-            return meets.how
-        if self.kept.room_in():
+        """Return the outcome of a new request's look-up, `refused`, or `started` once durable."""
+        digest = self.store.key_digest("book", key)
+        meets = self.store.look_up(digest, 0.0)
+        if meets.outcome != "execute":
+            return meets.outcome
+        if self.store.retry_after():
             return "refused"
-        self.kept.note(number, digest, window, number.to_bytes(8, "big"), "book")
-        self.kept.flush()
-        news = self.kept.collect()
-        return "started" if ("synced", number, None) in news else "refused"
+        self.store.log_intent(number, digest, window, number.to_bytes(8, "big"), "book")
+        self.store.flush()
+        news = self.store.collect()
+        return "started" if ("intent_durable", number, None) in news else "refused"
 
     def finish(self, key, number, given, body=None):
-        self.kept.over(number, self.kept.digest("book", key), given, body)
-        self.kept.flush()
-        return self.kept.collect()
+        self.store.end_execution(number, self.store.key_digest("book", key), given, body)
+        self.store.flush()
+        return self.store.collect()
 
     def ask(self, key):
-        """(what a repeat meets, the result where there is one)"""
-        meets = self.kept.meets(self.kept.digest("book", key), 0.0)
-        if meets.how != "answer":
-            return meets.how, None
-        body = self.kept.fetch(99, meets)
+        """Return the outcome of a duplicate's look-up, and the result where there is one."""
+        meets = self.store.look_up(self.store.key_digest("book", key), 0.0)
+        if meets.outcome != "answer":
+            return meets.outcome, None
+        body = self.store.fetch_result(99, meets)
         if body is None:
-            news = [news for news in self.kept.collect() if news[0] == "fetched"]
+            news = [news for news in self.store.collect() if news[0] == "result_read"]
             body = news[0][2] if news else None
         return "answer", body
 
     def tend(self, sweeps=200, seconds=0.1):
         for _ in range(sweeps):
             self.pass_time(seconds)
-            self.kept.upkeep()
-            self.kept.collect()
+            self.store.maintain()
+            self.store.collect()
 
-    def kept_run(self, key, number, body=b"r", window=30.0):
+    def complete(self, key, number, body=b"r", window=30.0):
         assert self.begin(key, number, window) == "started", (key, number)
         self.finish(key, number, 3, body)
 
 
 def seeded(*what):
     return random.Random(repr(what))
+
+
+def log_files(machine):
+    return {
+        name: machine.disk.data[key] for name, key in machine.disk.now_names.items() if name.endswith(".log")
+    }
+
+
+def events(machine):
+    return [event for event, _ in machine.logged]
+
+
+def key_of(machine):
+    return machine.disk.data[machine.disk.now_names["key"]]
+
+
+def filled(count=60, window=30.0, segment=3000):
+    machine = Machine()
+    machine.limits = machine.limits._replace(segment=segment)
+    machine.start()
+    for number in range(1, count + 1):
+        machine.complete(f"k{number}", number, b"body %d" % number, window)
+    return machine
+
+
+def same_answers(machine, count=60):
+    return all(machine.ask(f"k{n}") == ("answer", b"body %d" % n) for n in range(1, count + 1))
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -29,12 +29,14 @@
 from valeturn.maintenance.options import TurnsOptions
 from valeturn.result_store import commands as store_commands
 from valeturn.result_store import entry_states, records, snapshot
-from valeturn.result_store.directory import Files
+from valeturn.result_store.directory import StoreDirectory as Files
+from valeturn.result_store.environment import StoreEnvironment, StoreSettings
 from valeturn.result_store.index import Index
-from valeturn.result_store.limits import StoreBounds
-from valeturn.result_store.opening import open_folder
-from valeturn.result_store.store import Kept as KeptResults
-from valeturn.result_store.window_clock import Moment, Stamp
+from valeturn.result_store.limits import StoreLimits
+from valeturn.result_store.opening import open_store
+from valeturn.result_store.store import ResultStore
+from valeturn.result_store.window_clock import ClockReading as Moment
+from valeturn.result_store.window_clock import StoreTimestamp as Stamp
 from valeturn.server.components import control as control_part
 from valeturn.transport.scheduler import Scheduler
 from valeturn.transport.seeded_random import Chance
@@ -478,14 +480,16 @@
         self.logged: list[Any] = []
         self.files = Files(str(folder))
         assert self.files.prepare()
-        limits = StoreBounds(1_000_000, 1500, 1024, 65536)
-        self.kept = KeptResults(self, limits, self.files, Inline(), self.moment, 3600.0, ignore, self.log)
+        limits = StoreLimits(1_000_000, 1500, 1024, 65536)
+        environment = StoreEnvironment(self.files, Inline(), self.moment, ignore, self.log)
+        self.kept = ResultStore(environment, StoreSettings(limits, self.retry, 3600.0))
         self.kept.collect()
 
     def moment(self) -> Moment:
         return Moment(self.wall, self.boot, self.boot_id)
 
     def log(self, event: str, fields: dict[str, Any] | None = None, **named: Any) -> None:
+        event = {"store_torn_tail_cut": "store_torn"}.get(event, event)
         self.logged.append([event, plain(fields or {})])
 
     def pass_time(self, seconds: float) -> None:
@@ -493,13 +497,13 @@
         self.boot += seconds
 
     def begin(self, mark: str, number: int, window: float = 86_400.0) -> None:
-        digest = self.kept.digest("book", mark)
-        self.kept.note(number, digest, window, number.to_bytes(8, "big"), "book")
+        digest = self.kept.key_digest("book", mark)
+        self.kept.log_intent(number, digest, window, number.to_bytes(8, "big"), "book")
         self.kept.flush()
-        assert self.kept.collect() == [("synced", number, None)]
+        assert self.kept.collect() == [("intent_durable", number, None)]
 
     def end(self, mark: str, number: int, given: int, body: bytes | None = None) -> None:
-        self.kept.over(number, self.kept.digest("book", mark), given, body)
+        self.kept.end_execution(number, self.kept.key_digest("book", mark), given, body)
         self.kept.flush()
         self.kept.collect()
 
@@ -507,19 +511,19 @@
         """What is done in the background: a snapshot, among others."""
         for _ in range(sweeps):
             self.pass_time(0.125)
-            self.kept.upkeep()
+            self.kept.maintain()
             self.kept.collect()
 
     def meets(self, mark: str) -> list[Any]:
         """What a repeat meets, and the result where there is one."""
-        found = self.kept.meets(self.kept.digest("book", mark), 0.0)
-        how = found.how
+        found = self.kept.look_up(self.kept.key_digest("book", mark), 0.0)
+        how = {"execute": "run", "coalesce": "join", "fail": "write_off"}.get(found.outcome, str(found.outcome))
         if how != "answer":
             return [how, None]
-        body = self.kept.fetch(99, found)
+        body = self.kept.fetch_result(99, found)
         if body is None:
             ((what, number, body),) = self.kept.collect()
-            assert (what, number) == ("fetched", 99)
+            assert (what, number) == ("result_read", 99)
         return [how, plain(body)]
 
 
@@ -530,46 +534,46 @@
         mark = f"done {number}"
         machine.begin(mark, number)
         body = bytes(range(256)) * (number % 3) + b"result of %d" % number
-        machine.end(mark, number, entry_states.DONE, body)
+        machine.end(mark, number, entry_states.SUCCEEDED, body)
         machine.pass_time(0.25)
     machine.begin("done without a byte", 13)
-    machine.end("done without a byte", 13, entry_states.DONE, b"")
+    machine.end("done without a byte", 13, entry_states.SUCCEEDED, b"")
     machine.begin("failed", 14)
-    machine.end("failed", 14, entry_states.ENDED)
+    machine.end("failed", 14, entry_states.ENDED_WITHOUT_RESULT)
     machine.begin("never sent", 15)
-    machine.end("never sent", 15, entry_states.UNBEGUN)
+    machine.end("never sent", 15, entry_states.NEVER_STARTED)
     machine.begin("of a short window", 16, 60.0)
-    machine.end("of a short window", 16, entry_states.DONE, b"soon over")
+    machine.end("of a short window", 16, entry_states.SUCCEEDED, b"soon over")
     machine.begin("running at the snapshot", 17)
     machine.begin("told after the restart", 18)
     machine.tend(80)
     machine.begin("done after the snapshot", 19)
-    machine.end("done after the snapshot", 19, entry_states.DONE, b"behind it")
+    machine.end("done after the snapshot", 19, entry_states.SUCCEEDED, b"behind it")
     machine.begin("running at the end", 20)
     machine.files.release()
     machine = Machine(folder, REBOOTED)
-    assert machine.kept.told((18).to_bytes(8, "big"), entry_states.DONE, b"late")
+    assert machine.kept.end_unfinished((18).to_bytes(8, "big"), entry_states.SUCCEEDED, b"late")
     machine.kept.flush()
     machine.kept.collect()
     machine.begin("last", 21)
-    machine.end("last", 21, entry_states.DONE, b"the last frame")
+    machine.end("last", 21, entry_states.SUCCEEDED, b"the last frame")
     machine.files.release()
 
 
 def opened_of(folder: pathlib.Path) -> dict[str, Any]:
     """What the code finds in a folder, without changing it."""
-    opened = open_folder(Files(str(folder)), READ, False)
-    found = opened.found
-    rows = [plain(row) for number in range(len(found.index.shards)) for row in found.index.rows(number)]
+    opened = open_store(Files(str(folder)), READ, False)
+    found = opened.recovered
+    rows = [plain(row) for number in range(len(found.index.shards)) for row in found.index.shard_rows(number)]
     return {
         "key": plain(opened.key),
         "rows": sorted(rows, key=lambda row: row[0]["hex"]),
         "segments": [[one.number, one.size, one.longest_until] for one in found.segments.values()],
         "sequence": found.sequence,
-        "unsettled": sorted(plain(found.unsettled), key=lambda row: row[0]["hex"]),
-        "stamp": plain(found.stamp),
-        "unsure": found.unsure,
-        "longest": found.longest,
+        "unsettled": sorted(plain(found.unfinished), key=lambda row: row[0]["hex"]),
+        "stamp": plain(found.timestamp),
+        "unsure": found.in_doubt_until,
+        "longest": found.longest_window,
         "notes": [[event, plain(fields)] for event, fields in found.notes],
         "snapshot": [opened.covered, opened.snapshot_size, plain(opened.position)],
     }
@@ -588,7 +592,7 @@
 @pytest.mark.parametrize("name", sorted(STORE))
 def test_store_of_earlier_version_answers_repeats_the_same(name: str, tmp_path: pathlib.Path) -> None:
     machine = Machine(copied(name, tmp_path), READ)
-    digests = {mark: machine.kept.digest("book", mark).hex() for mark in STORE[name]["digests"]}
+    digests = {mark: machine.kept.key_digest("book", mark).hex() for mark in STORE[name]["digests"]}
     assert digests == STORE[name]["digests"]
     found = {mark: machine.meets(mark) for mark in STORE[name]["repeats"]}
     assert found == STORE[name]["repeats"]
@@ -625,12 +629,12 @@
 
 RECORDS = golden("store/records.json")
 RECORD_TYPES = {
-    "head": records.Head,
-    "intent": records.Intent,
-    "result": records.Result,
-    "failed": records.Failed,
-    "unsent": records.Unsent,
-    "unsure": records.Unsure,
+    "head": records.SegmentHead,
+    "intent": records.IntentRecord,
+    "result": records.ResultRecord,
+    "failed": records.FailedRecord,
+    "unsent": records.UnsentRecord,
+    "unsure": records.InDoubtRecord,
 }
 
 
@@ -645,8 +649,8 @@
 def test_record_of_earlier_version_is_read_and_written_the_same(case: dict[str, Any]) -> None:
     data = bytes.fromhex(case["bytes"])
     record = record_of(case["name"], case["fields"])
-    assert records.encode(record) == data
-    assert records.decode(data, "first boot") == [(0, len(data), record)]
+    assert records.encode_record(record) == data
+    assert records.decode_records(data, "first boot") == [(0, len(data), record)]
     assert plain(record) == case["fields"]
 
 
@@ -658,13 +662,13 @@
     (case,) = [case for case in RECORDS["records"] if case["name"] == "result"]
     data = bytes.fromhex(case["bytes"])
     digest, until, body, _ = unplain(case["fields"])
-    assert records.one(data) == records.result(digest, until, body)
-    assert records.one(data.replace(body, bytes(len(body)))) is None
+    assert records.decode_single(data) == records.make_result(digest, until, body)
+    assert records.decode_single(data.replace(body, bytes(len(body)))) is None
 
 
 def test_record_of_a_newer_kind_is_passed_over() -> None:
     data = bytes.fromhex(RECORDS["newer"])
-    ((_, _, record),) = records.decode(data)
+    ((_, _, record),) = records.decode_records(data)
     assert plain(record) == [99]
 
 
@@ -672,37 +676,37 @@
     case = RECORDS["frame"]
     data = bytes.fromhex(case["bytes"])
     payload = bytes.fromhex(case["payload"])
-    assert records.frame(case["segment"], case["sequence"], payload) == data
-    assert plain(records.frame_at(data, 0, case["segment"])) == [
+    assert records.encode_frame(case["segment"], case["sequence"], payload) == data
+    assert plain(records.read_frame(data, 0, case["segment"])) == [
         case["offset"],
         case["sequence"],
         {"hex": case["payload"]},
         len(data),
     ]
-    assert records.frame_at(data, 0, case["segment"] + 1) is None
+    assert records.read_frame(data, 0, case["segment"] + 1) is None
 
 
 def test_files_of_the_store_begin_as_in_earlier_version() -> None:
-    assert [records.MAGIC.hex(), snapshot.MAGIC.hex()] == RECORDS["magics"]
+    assert [records.LOG_MAGIC.hex(), snapshot.SNAPSHOT_MAGIC.hex()] == RECORDS["magics"]
 
 
 def test_snapshot_of_earlier_version_is_read_and_written_the_same() -> None:
     case = RECORDS["snapshot"]
     data = bytes.fromhex(case["bytes"])
-    found = snapshot.read(data)
+    found = snapshot.decode_snapshot(data)
     *fields, index = found
     assert plain(fields) == case["fields"]
-    rows = [row for number in range(len(index.shards)) for row in index.rows(number)]
+    rows = [row for number in range(len(index.shards)) for row in index.shard_rows(number)]
     assert plain(rows) == case["rows"]
     filled = Index()
     for row in case["rows"]:
         filled.put(*unplain(row))
     parts = [
-        snapshot.part(number, filled.dump(number))
+        snapshot.encode_shard(number, filled.dump_shard(number))
         for number in range(len(filled.shards))
-        if filled.dump(number) is not None
+        if filled.dump_shard(number) is not None
     ]
-    written = snapshot.head(found) + b"".join(parts) + snapshot.end(len(parts))
+    written = snapshot.encode_head(found) + b"".join(parts) + snapshot.encode_end(len(parts))
     assert written == data
 
 
--- a/valeturn/degradation/options.py
+++ b/valeturn/degradation/options.py
@@ -246,7 +246,7 @@
 
 
 def build_levels(levels: Mapping[str, LevelOptions], names: DeploymentNames) -> list[DegradationLevel]:
-    """Return the levels for a deployment in which `fit` found no fault."""
+    """Return the levels for a deployment in which `check_deployment` found no fault."""
     return [
         DegradationLevel(
             name=name,
--- a/valeturn/lab/storebench.py
+++ b/valeturn/lab/storebench.py
@@ -21,11 +21,12 @@
 from hdrh.histogram import HdrHistogram
 
 from ..result_store import entry_states, limits, window_clock
-from ..result_store.directory import Files
+from ..result_store.directory import StoreDirectory
+from ..result_store.environment import StoreEnvironment, StoreSettings
 from ..result_store.index import Index
-from ..result_store.snapshots import Snapshotting
-from ..result_store.store import Kept
-from ..result_store.timing_wheel import Wheel
+from ..result_store.log_jobs import SnapshotJob
+from ..result_store.store import ResultStore
+from ..result_store.timing_wheel import TimingWheel
 from ..transport.worker_thread import Helper
 
 AT_ONCE = 100  # submissions under way
@@ -33,29 +34,23 @@
 MEASURED = 20_000  # submissions whose waits are taken, after which keys are only filled in
 
 
-class Plain:
-    retry = 1.0
-
-
 def mark(number):
     return f"parcel-{number:08d}"
 
 
 def open_kept(folder, keys, helper=None):
-    files, boot = Files(str(folder)), window_clock.boot_id()
+    files, boot = StoreDirectory(str(folder)), window_clock.read_boot_id()
     if not files.prepare():
         raise SystemExit(f"valeturn: {folder}: another process has it")
-    derived = limits.derive(2 * keys * 600 + 100_000_000, max(8_000_000, 150 * keys), 4_000_000)
-    return Kept(
-        Plain,
-        derived,
+    derived = limits.derive_limits(2 * keys * 600 + 100_000_000, max(8_000_000, 150 * keys), 4_000_000)
+    environment = StoreEnvironment(
         files,
         helper or Helper(),
-        lambda: window_clock.read(boot),
-        86400.0,
+        lambda: window_clock.read_clocks(boot),
         lambda *_: None,
         lambda *_: None,
     )
+    return ResultStore(environment, StoreSettings(derived, 1.0, 86400.0))
 
 
 def submissions(kept, keys, waits):
@@ -65,23 +60,23 @@
     while ended < keys:
         while len(under_way) < AT_ONCE and made < keys:
             made += 1
-            digest = kept.digest("book", mark(made))
-            if kept.meets(digest, 0.0).how != "run" or kept.room_in():
+            digest = kept.key_digest("book", mark(made))
+            if kept.look_up(digest, 0.0).outcome != "execute" or kept.retry_after():
                 raise SystemExit(f"valeturn: no room for key {made}")
             under_way[made] = digest, time.perf_counter()
-            kept.note(made, digest, 86400.0, made.to_bytes(8, "big"), "book")
+            kept.log_intent(made, digest, 86400.0, made.to_bytes(8, "big"), "book")
         kept.flush()
-        kept.helper.end.recv(65536)
+        kept.worker.end.recv(65536)
         for kind, number, _ in kept.collect():
-            if kind != "synced":
+            if kind != "intent_durable":
                 raise SystemExit("valeturn: the disk failed")
             digest, began = under_way.pop(number)
             waits.record_value(max(1, int(1e6 * (time.perf_counter() - began))))
-            kept.over(number, digest, entry_states.DONE, RESULT)
+            kept.end_execution(number, digest, entry_states.SUCCEEDED, RESULT)
             ended += 1
     kept.flush()
-    while kept.pending or kept.flying:
-        kept.helper.end.recv(65536)
+    while kept.pending or kept.in_flight:
+        kept.worker.end.recv(65536)
         kept.collect()
         kept.flush()
 
@@ -172,7 +167,7 @@
     index = Index()
     began, most, last = time.perf_counter(), 0.0, time.perf_counter()
     for digest in digests:
-        index.put(digest, 1, 2, 3, 4, entry_states.KEPT)
+        index.put(digest, 1, 2, 3, 4, entry_states.STORED)
         now = time.perf_counter()
         most, last = max(most, now - last), now
     took = time.perf_counter() - began
@@ -181,18 +176,18 @@
     get = (time.perf_counter() - began) / found
     print(
         f"index ours: put_us={1e6 * took / keys:.2f} longest_ms={1e3 * most:.2f} "
-        f"bytes_a_key={index.memory() / keys:.0f} get_us={1e6 * get:.2f}",
+        f"bytes_a_key={index.memory_bytes() / keys:.0f} get_us={1e6 * get:.2f}",
         file=out,
     )
     del rows, index
-    for name, make in (("heap", Heap), ("wheel", Wheel)):
+    for name, make in (("heap", Heap), ("wheel", TimingWheel)):
         ends, began = make(0), time.perf_counter()
         for number, digest in enumerate(digests):
             ends.add(digest, 600 + number * 7919 % 3600)
         added = time.perf_counter() - began
         began, gone = time.perf_counter(), 0
         for now in range(600, 4300):
-            gone += len(ends.due(now, 1 << 30))
+            gone += len(ends.pop_due(now, 1 << 30))
         took = time.perf_counter() - began
         print(
             f"expiry {name}: add_us={1e6 * added / keys:.2f} due_us={1e6 * took / gone:.2f} "
@@ -212,14 +207,14 @@
     def add(self, digest, second):
         heapq.heappush(self.heap, (second, digest))
 
-    def due(self, now, most):
+    def pop_due(self, now, most):
         out = []
         while self.heap and self.heap[0][0] <= now and len(out) < most:
             out.append(heapq.heappop(self.heap)[1])
         return out
 
 
-Wheel.BYTES = 24
+TimingWheel.BYTES = 24
 
 
 def main(keys, folder, out):
@@ -247,7 +242,7 @@
         one.mkdir(parents=True)
     waits = HdrHistogram(1, 60_000_000, 3)
     kept = open_kept(ours, keys)
-    key, began, cpu = kept.digest, time.perf_counter(), time.process_time()
+    key, began, cpu = kept.key_digest, time.perf_counter(), time.process_time()
     submissions(kept, keys, waits)
     took, cpu = time.perf_counter() - began, time.process_time() - cpu
     tell("store", keys, took, cpu, waits, ours, out)
@@ -261,7 +256,7 @@
     kept.close(10.0)
     (ours / "snapshot").unlink(missing_ok=True)
     open_it = f"kept = storebench.open_kept({str(ours)!r}, {keys}, Inline())"
-    check = f"assert kept.meets(kept.digest('book', storebench.mark({keys})), 0.0).how == 'answer'"
+    check = f"assert kept.look_up(kept.key_digest('book', storebench.mark({keys})), 0.0).outcome == 'answer'"
     took, memory = child(f"{open_it}\n{check}")
     print(
         f"start from the log: seconds={took:.3f} bytes_a_key={memory / keys:.0f}",
@@ -269,12 +264,12 @@
         flush=True,
     )
     kept = open_kept(ours, keys)
-    kept.finish(Snapshotting(kept))
+    kept.finish(SnapshotJob(kept))
     kept.close(10.0)
     took, memory = child(f"{open_it}\n{check}")
     print(
         f"start from a snapshot: seconds={took:.3f} bytes_a_key={memory / keys:.0f} "
-        f"index_bytes_a_key={kept.index.memory() / keys:.0f}",
+        f"index_bytes_a_key={kept.index.memory_bytes() / keys:.0f}",
         file=out,
         flush=True,
     )
