--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -13,8 +13,10 @@
 
 from valeturn.cluster import bootstrap, codec, fencing, peer_connections, process_guard, vote_file
 from valeturn.cluster import quota as fs
-from valeturn.cluster import raft as ow
 from valeturn.cluster import singleton_tasks as du
+from valeturn.cluster.raft import RaftNode
+from valeturn.cluster.raft_log import DurableState, LogEntry
+from valeturn.cluster.replicated_state import ClusterState
 from valeturn.cluster.task_options import DutyOptions
 from valeturn.lab import model_checker as ex
 from valeturn.lab import shares as sh
@@ -272,7 +274,7 @@
         return True
 
 
-def overtaken(make=ow.Owner):
+def overtaken(make=RaftNode):
     """a had an effect that flies still; b leads now and holds the duty."""
     world = ex.led(make)
 
@@ -309,11 +311,13 @@
 
 
 def test_numbers_that_do_not_rise_are_found(monkeypatch):
-    plain_apply = ow.Facts.apply
+    plain_apply = ClusterState.apply
     monkeypatch.setattr(
-        ow.Facts,
+        ClusterState,
         "apply",
-        lambda facts, fact: plain_apply(facts._replace(fence=0) if fact[0] == "grant" else facts, fact),
+        lambda facts, fact: plain_apply(
+            facts._replace(fencing_token=0) if fact[0] == "grant" else facts, fact
+        ),
     )
     with pytest.raises(AssertionError):
         overtaken()  # b is granted what a had
@@ -353,8 +357,8 @@
 
 
 def test_a_vote_is_read_back_and_refused_where_it_is_another_s_or_damaged(tmp_path):
-    facts = ow.Facts((("n1", 5),), (("d", "n1", 5, 7),), 7)
-    kept = ow.Kept(3, "n1", 2, 1, facts, (ow.Entry(3, ("begin",)),), False)
+    facts = ClusterState((("n1", 5),), (("d", "n1", 5, 7),), 7)
+    kept = DurableState(3, "n1", 2, 1, facts, (LogEntry(3, ("begin",)),), False)
     data = vote_file.encode("lab", "n1", "127.0.0.1:1", 5, kept)
     assert vote_file.decode(data, "lab", "n1", "127.0.0.1:1") == (5, kept)
     for fleet, name, address in (
--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -6,7 +6,10 @@
 from hypothesis import strategies as st
 from raft_faults import ActsOnPastItsLease, KeepsNoPromise, VotesTwice
 
-from valeturn.cluster import raft as ow
+from valeturn.cluster import raft
+from valeturn.cluster.raft import Persist, RaftNode, Role, Send
+from valeturn.cluster.raft_log import DurableState, LogEntry
+from valeturn.cluster.replicated_state import ClusterState
 from valeturn.lab.ownervirtual import LEASE, Storm, owner_lost, play
 from valeturn.transport.seeded_random import Chance
 
@@ -22,21 +25,22 @@
     assert storm.leader() is not None and not storm.wiped, "and it ends with an owner"
 
 
-class KeepsItsFirstWordsAlone(ow.Owner):
-    def _taken(self):
-        out = super()._taken()
-        if self.last()[0] > 4:
-            out = [one for one in out if not isinstance(one, ow.Persist)]
+class KeepsItsFirstWordsAlone(RaftNode):
+    def take_effects(self):
+        out = super().take_effects()
+        if self.last_position().last_index > 4:
+            out = [one for one in out if not isinstance(one, Persist)]
         return out
 
 
-class LeaseFromTheAnswer(ow.Owner):
+class LeaseFromTheAnswer(RaftNode):
     """The lease counts from when an answer came, however old its question was."""
 
-    def on_appended(self, now, sender, term, number, good, index, life):
-        if number in self.rounds:
-            self.rounds[number][0] = now
-        super().on_appended(now, sender, term, number, good, index, life)
+    def on_append_response(self, now, sender, message):
+        answered = self.rounds.get(message.round_number)
+        if answered is not None:
+            self.rounds[message.round_number] = answered._replace(sent_at=now)
+        super().on_append_response(now, sender, message)
 
 
 PLANTED = [KeepsNoPromise, ActsOnPastItsLease, KeepsItsFirstWordsAlone, VotesTwice, LeaseFromTheAnswer]
@@ -46,7 +50,7 @@
 @pytest.mark.parametrize("planted", PLANTED)
 def test_each_planted_fault_is_found_by_the_witness(planted, monkeypatch):
     """All stand at one moment here, and a third of the messages come late or never: so that votes split."""
-    monkeypatch.setattr(ow, "APART", 0.0)
+    monkeypatch.setattr(raft, "ELECTION_SPREAD", 0.0)
     for seed in range(1, 201):
         if play(3 + 2 * (seed % 2), 40, seed, owner=planted, loss=0.1, late=0.25).witness.broken():
             return
@@ -54,7 +58,7 @@
 
 
 def test_the_same_storms_find_nothing_without_a_fault(monkeypatch):
-    monkeypatch.setattr(ow, "APART", 0.0)
+    monkeypatch.setattr(raft, "ELECTION_SPREAD", 0.0)
     for seed in range(1, 13):
         assert not play(3 + 2 * (seed % 2), 40, seed, loss=0.1, late=0.25).witness.broken()
 
@@ -74,11 +78,11 @@
     new = storm.leader()
     assert new is not None and new is not old
     old.stopped = False
-    assert not old.owner.leads(old.clock()), "before it has read a single message"
+    assert not old.owner.holds_lease(old.clock()), "before it has read a single message"
     assert not old.owner.propose(old.clock(), ("grant", "d", old.name, 1))
     storm.go_on(old)
     storm.run(storm.now + LEASE)
-    assert old.owner.role == ow.FOLLOWER and old.owner.kept.term >= new.owner.kept.term
+    assert old.owner.role == Role.FOLLOWER and old.owner.durable.term >= new.owner.durable.term
 
 
 @pytest.mark.parametrize("hears", [True, False])
@@ -106,12 +110,12 @@
 def test_who_was_cut_off_comes_back_without_upsetting_the_owner():
     storm = calm()
     leader = storm.leader()
-    term, away = leader.owner.kept.term, next(n for n in storm.voters if n != leader.name)
+    term, away = leader.owner.durable.term, next(n for n in storm.voters if n != leader.name)
     storm.cuts = {(a, b) for a in storm.voters for b in storm.voters if away in (a, b)}
     storm.run(storm.now + 20 * LEASE)
     storm.cuts = set()
     storm.run(storm.now + 5 * LEASE)
-    assert storm.leader() is leader and leader.owner.kept.term == term, "it only sounded the others out"
+    assert storm.leader() is leader and leader.owner.durable.term == term, "it only sounded the others out"
 
 
 def test_a_voter_that_lost_its_disk_votes_only_when_two_facts_say_so():
@@ -122,13 +126,13 @@
     storm.run(storm.now + LEASE)
     storm.wiped.add(lost.name)
     storm.back(lost, True)
-    assert lost.owner.kept.blank and not lost.owner.may_vote()
-    assert lost.owner.hear(lost.clock(), "x", "vote", [99, 99, 99, True]) == []
+    assert lost.owner.durable.state_lost and not lost.owner.may_vote()
+    assert lost.owner.receive(lost.clock(), "x", "vote", [99, 99, 99, True]) == []
     storm.run(storm.now + 8 * LEASE)
-    assert not lost.owner.kept.blank and lost.owner.may_vote()
+    assert not lost.owner.durable.state_lost and lost.owner.may_vote()
     changes = [fact for _, fact in sorted(storm.witness.facts.items()) if fact[0] in ("admit", "dismiss")]
     assert changes == [("dismiss", lost.name), ("admit", lost.name, 2)]
-    assert lost.owner.kept.vote is not None, "its vote of this term may have been given before"
+    assert lost.owner.durable.vote is not None, "its vote of this term may have been given before"
 
 
 def test_a_majority_lost_for_good_is_never_made_up_for_by_those_that_forgot():
@@ -149,8 +153,8 @@
     old = storm.leader()
     to = next(name for name in storm.voters if name != old.name)
     at = storm.now
-    old.carry(old.owner.hand_over(old.clock(), to))
-    assert not old.owner.leads(old.clock())
+    old.carry(old.owner.transfer_leadership(old.clock(), to))
+    assert not old.owner.holds_lease(old.clock())
     while storm.leader() is None:
         storm.run(storm.now + 0.01)
     assert storm.leader().name == to and storm.now - at < 0.3 * LEASE
@@ -168,99 +172,110 @@
     leader = storm.leader()
     away = next(v for v in storm.voters.values() if v is not leader)
     away.up = False
-    for number in range(3 * ow.KEPT):
+    for number in range(3 * raft.LOG_ENTRIES_RETAINED):
         assert leader.owner.propose(leader.clock(), ("grant", f"d{number % 5}", leader.name, 1))
         leader.carry(leader.owner.tick(leader.clock()))
         if number % 16 == 0:
             storm.run(storm.now + 0.1)
     storm.run(storm.now + LEASE)
-    assert len(leader.owner.kept.entries) <= 2 * ow.KEPT + 16 and leader.owner.kept.base > ow.KEPT
+    assert (
+        len(leader.owner.durable.entries) <= 2 * raft.LOG_ENTRIES_RETAINED + 16
+        and leader.owner.durable.snapshot_index > raft.LOG_ENTRIES_RETAINED
+    )
     storm.back(away, False)
     storm.run(storm.now + 3 * LEASE)
-    assert away.owner.facts == leader.owner.facts and away.owner.facts.fence == 3 * ow.KEPT
+    assert (
+        away.owner.state == leader.owner.state
+        and away.owner.state.fencing_token == 3 * raft.LOG_ENTRIES_RETAINED
+    )
 
 
-def voter(name="a", kept=None, now=0.0, life=1):
-    founders = () if kept else (("a", 1), ("b", 1), ("c", 1))
-    return ow.Owner(name, life, 1.0, Chance(1), now, kept, founders)
+def voter(name="a", durable=None, now=0.0, life=1):
+    founders = () if durable else (("a", 1), ("b", 1), ("c", 1))
+    return RaftNode(name, life, 1.0, Chance(1), now, durable, founders)
 
 
 def sent(effects, kind):
-    return [(one.to, one.fields) for one in effects if isinstance(one, ow.Send) and one.kind == kind]
+    return [(one.to, one.fields) for one in effects if isinstance(one, Send) and one.kind == kind]
 
 
 def test_one_vote_a_term_also_after_a_restart_and_it_is_kept_before_it_is_told():
     one = voter()
-    effects = one.hear(5.0, "b", "vote", [3, 1, 0, False])
-    assert isinstance(effects[0], ow.Persist) and effects[0].kept.vote == "b" and sent(effects, "voted")
-    assert not sent(one.hear(5.1, "c", "vote", [3, 1, 0, False]), "voted")
-    again = voter(kept=effects[0].kept, now=5.2)
-    assert not sent(again.hear(9.0, "c", "vote", [3, 1, 0, False]), "voted")
-    assert sent(again.hear(9.0, "b", "vote", [3, 1, 0, False]), "voted"), "the same once more"
+    effects = one.receive(5.0, "b", "vote", [3, 1, 0, False])
+    assert isinstance(effects[0], Persist) and effects[0].durable.vote == "b" and sent(effects, "voted")
+    assert not sent(one.receive(5.1, "c", "vote", [3, 1, 0, False]), "voted")
+    again = voter(durable=effects[0].durable, now=5.2)
+    assert not sent(again.receive(9.0, "c", "vote", [3, 1, 0, False]), "voted")
+    assert sent(again.receive(9.0, "b", "vote", [3, 1, 0, False]), "voted"), "the same once more"
 
 
 def test_no_vote_for_a_log_that_lacks_what_it_has_nor_while_a_leader_s_promise_lasts():
     one = voter()
-    one.hear(5.0, "b", "append", [2, 1, 1, 0, [[2, ["begin"]]], 2])
-    assert not sent(one.hear(5.5, "c", "vote", [9, 2, 2, False]), "voted"), "promised to b"
-    assert one.kept.term == 2, "and its term is not driven up meanwhile"
-    assert not sent(one.hear(7.0, "c", "vote", [9, 1, 0, False]), "voted"), "an older log"
-    assert sent(one.hear(7.0, "c", "vote", [10, 2, 2, False]), "voted")
+    one.receive(5.0, "b", "append", [2, 1, 1, 0, [[2, ["begin"]]], 2])
+    assert not sent(one.receive(5.5, "c", "vote", [9, 2, 2, False]), "voted"), "promised to b"
+    assert one.durable.term == 2, "and its term is not driven up meanwhile"
+    assert not sent(one.receive(7.0, "c", "vote", [9, 1, 0, False]), "voted"), "an older log"
+    assert sent(one.receive(7.0, "c", "vote", [10, 2, 2, False]), "voted")
 
 
 def leading(term_before=0, entries=()):
     """`a` of three, just elected, with entries of earlier terms in its log."""
-    kept = ow.Kept(term=term_before, base=1, facts=ow.Facts((("a", 1), ("b", 1), ("c", 1))), entries=entries)
-    one = voter(kept=kept)
+    kept = DurableState(
+        term=term_before,
+        snapshot_index=1,
+        snapshot=ClusterState((("a", 1), ("b", 1), ("c", 1))),
+        entries=entries,
+    )
+    one = voter(durable=kept)
     now = 5.0
     one.tick(now)
-    one.hear(now, "b", "would", [one.kept.term + 1, one.kept.term, True])
-    one.hear(now, "b", "voted", [one.kept.term])
-    assert one.role == ow.LEADER
+    one.receive(now, "b", "would", [one.durable.term + 1, one.durable.term, True])
+    one.receive(now, "b", "voted", [one.durable.term])
+    assert one.role == Role.LEADER
     return one, now
 
 
 def test_the_lease_counts_from_the_sending_of_the_round_that_was_answered():
     one, now = leading()
-    assert not one.leads(now), "elected is not yet answered"
-    number, last = one.round, one.last()[0]
-    one.hear(now + 0.9, "b", "appended", [one.kept.term, number, True, last, 1])
-    assert one.lease_until == now + 1.0 and not one.leads(now + 1.0)
+    assert not one.holds_lease(now), "elected is not yet answered"
+    number, last = one.round_number, one.last_position().last_index
+    one.receive(now + 0.9, "b", "appended", [one.durable.term, number, True, last, 1])
+    assert one.lease_until == now + 1.0 and not one.holds_lease(now + 1.0)
 
 
 def test_answers_of_another_life_count_for_nothing():
     one, now = leading()
-    number, last = one.round, one.last()[0]
+    number, last = one.round_number, one.last_position().last_index
     for life in (0, 2):
-        one.hear(now, "b", "appended", [one.kept.term, number, True, last, life])
-        assert not one.leads(now) and one.commit == 1
-    one.hear(now, "b", "appended", [one.kept.term, number, True, last, 1])
-    assert one.leads(now) and one.commit == last
+        one.receive(now, "b", "appended", [one.durable.term, number, True, last, life])
+        assert not one.holds_lease(now) and one.commit_index == 1
+    one.receive(now, "b", "appended", [one.durable.term, number, True, last, 1])
+    assert one.holds_lease(now) and one.commit_index == last
 
 
 def test_a_fleet_of_one_grows_though_the_newcomer_must_answer_before_it_votes():
     """The fact that admits it is committed with its own answer, as it may be the half of the new majority."""
-    alone = ow.Owner("a", 1, 1.0, Chance(1), 0.0, voters=(("a", 1),))
-    new, now = ow.Owner("b", 7, 1.0, Chance(2), 0.0), 0.0
+    alone = RaftNode("a", 1, 1.0, Chance(1), 0.0, voters=(("a", 1),))
+    new, now = RaftNode("b", 7, 1.0, Chance(2), 0.0), 0.0
 
     def pass_on(effects, sender, to):
         for effect in effects:
-            if isinstance(effect, ow.Send):
-                pass_on(to.hear(now, sender.name, effect.kind, effect.fields), to, sender)
+            if isinstance(effect, Send):
+                pass_on(to.receive(now, sender.name, effect.kind, effect.fields), to, sender)
 
     for step in range(60):
         now = step / 12
-        if alone.leads(now):
-            alone.readmit(now, "b", 7)
+        if alone.holds_lease(now):
+            alone.readmit_voter(now, "b", 7)
         pass_on(alone.tick(now), alone, new)
-    assert alone.leads(now) and new.may_vote() and len(alone.facts.voters) == 2
+    assert alone.holds_lease(now) and new.may_vote() and len(alone.state.voters) == 2
 
 
 def test_a_leader_that_dies_before_it_told_that_a_newcomer_is_admitted_is_followed():
     """Its log has the fact, uncommitted as far as it knows; the majority, three of four, needs its vote."""
     founders, now = (("a", 1), ("b", 1), ("c", 1)), 0.0
-    fleet = {name: ow.Owner(name, 1, 1.0, Chance(n), 0.0, voters=founders) for n, name in enumerate("abc")}
-    fleet["d"] = ow.Owner("d", 9, 1.0, Chance(9), 0.0)
+    fleet = {name: RaftNode(name, 1, 1.0, Chance(n), 0.0, voters=founders) for n, name in enumerate("abc")}
+    fleet["d"] = RaftNode("d", 9, 1.0, Chance(9), 0.0)
 
     def play(until, dead="", lead=None):
         nonlocal now
@@ -272,42 +287,44 @@
                 todo = [(name, one) for one in fleet[name].tick(now)]
                 while todo:
                     sender, one = todo.pop(0)
-                    if isinstance(one, ow.Send) and one.to not in dead:
-                        todo += [(one.to, e) for e in fleet[one.to].hear(now, sender, one.kind, one.fields)]
+                    if isinstance(one, Send) and one.to not in dead:
+                        todo += [
+                            (one.to, e) for e in fleet[one.to].receive(now, sender, one.kind, one.fields)
+                        ]
                 if lead is not None and lead(name):
                     return name
         return None
 
-    leader = play(20.0, lead=lambda name: fleet[name].leads(now) and fleet[name].commit > 1)
-    fleet[leader].readmit(now, "d", 9)
+    leader = play(20.0, lead=lambda name: fleet[name].holds_lease(now) and fleet[name].commit_index > 1)
+    fleet[leader].readmit_voter(now, "d", 9)
     todo = fleet[leader].tick(now)
     while todo:  # it reaches all; but for the newcomer's, their answers, and the commit, reach nobody
         one = todo.pop(0)
-        if isinstance(one, ow.Send) and one.kind in ("append", "snapshot"):
-            answers = fleet[one.to].hear(now, leader, one.kind, one.fields)
+        if isinstance(one, Send) and one.kind in ("append", "snapshot"):
+            answers = fleet[one.to].receive(now, leader, one.kind, one.fields)
             for answer in answers if one.to == "d" else ():
-                if isinstance(answer, ow.Send):
-                    todo += fleet[leader].hear(now, "d", answer.kind, answer.fields)
-    assert fleet["d"].commit < fleet["d"].last()[0] and fleet["d"].may_vote()
-    assert play(now + 20.0, dead=leader, lead=lambda name: fleet[name].leads(now)) not in (None, leader)
+                if isinstance(answer, Send):
+                    todo += fleet[leader].receive(now, "d", answer.kind, answer.fields)
+    assert fleet["d"].commit_index < fleet["d"].last_position().last_index and fleet["d"].may_vote()
+    assert play(now + 20.0, dead=leader, lead=lambda name: fleet[name].holds_lease(now)) not in (None, leader)
 
 
 def test_an_entry_of_an_earlier_term_is_committed_by_one_of_its_own_alone():
-    one, now = leading(2, (ow.Entry(1, ("grant", "d", "a", 1)),))
-    assert one.last() == (3, 3)
-    one.hear(now, "b", "appended", [3, one.round, True, 2, 1])
-    assert one.commit == 1, "a majority has it; a later leader could still put another in its place"
-    one.hear(now, "b", "appended", [3, one.round, True, 3, 1])
-    assert one.commit == 3
+    one, now = leading(2, (LogEntry(1, ("grant", "d", "a", 1)),))
+    assert one.last_position() == (3, 3)
+    one.receive(now, "b", "appended", [3, one.round_number, True, 2, 1])
+    assert one.commit_index == 1, "a majority has it; a later leader could still put another in its place"
+    one.receive(now, "b", "appended", [3, one.round_number, True, 3, 1])
+    assert one.commit_index == 3
 
 
 def test_a_snapshot_that_comes_late_takes_nothing_back():
     one = voter()
     entries = [[2, ["begin"]], [2, ["grant", "d", "b", 1]], [2, ["grant", "d", "c", 1]]]
-    one.hear(5.0, "b", "append", [2, 1, 1, 0, entries, 2])
+    one.receive(5.0, "b", "append", [2, 1, 1, 0, entries, 2])
     facts = [[["a", 1], ["b", 1], ["c", 1]], [["d", "b", 1, 1]], 1, [], False]
-    one.hear(5.1, "b", "snapshot", [2, 1, 3, 2, facts])
-    assert one.last() == (4, 2) and one.kept.base == 3, "what it said it has stays"
+    one.receive(5.1, "b", "snapshot", [2, 1, 3, 2, facts])
+    assert one.last_position() == (4, 2) and one.durable.snapshot_index == 3, "what it said it has stays"
 
 
 @FAST
@@ -325,7 +342,7 @@
     )
 )
 def test_facts_and_their_plain_reading_agree(facts):
-    now, duties, voters, fence, seen = ow.Facts(), {}, {}, 0, []
+    now, duties, voters, fence, seen = ClusterState(), {}, {}, 0, []
     for fact in facts:
         before, now = now, now.apply(fact)
         if fact[0] == "grant":
@@ -340,8 +357,8 @@
             voters.pop(fact[1], None)
         elif fact[0] == "epoch":
             fence = max(fence, fact[1])
-        assert now.fence == fence >= before.fence
-        assert dict(now.voters) == voters and {d: row for d, *row in now.duties} == {
+        assert now.fencing_token == fence >= before.fencing_token
+        assert dict(now.voters) == voters and {d: row for d, *row in now.task_leases} == {
             d: list(row) for d, row in duties.items()
         }
     assert seen == sorted(set(seen)), "no fence is handed out twice"
@@ -351,7 +368,7 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from([*ow.Owner.KINDS, "odd"]),
+            st.sampled_from([*RaftNode.KINDS, "odd"]),
             st.lists(
                 st.one_of(
                     st.integers(-2, 5),
@@ -367,8 +384,8 @@
     )
 )
 def test_no_message_breaks_it(messages):
-    one = ow.Owner("a", 1, 1.0, Chance(1), 0.0, None, (("a", 1), ("b", 1), ("c", 1)))
+    one = RaftNode("a", 1, 1.0, Chance(1), 0.0, None, (("a", 1), ("b", 1), ("c", 1)))
     for number, (kind, fields) in enumerate(messages):
-        one.hear(0.1 * number, "b", kind, fields)
+        one.receive(0.1 * number, "b", kind, fields)
         one.tick(0.1 * number + 0.05)
-    assert one.role in range(4) and one.last()[0] >= 1
+    assert one.role in range(4) and one.last_position().last_index >= 1
--- a/tests/digests/drain_schedule.py
+++ b/tests/digests/drain_schedule.py
@@ -8,7 +8,7 @@
 import random
 from collections.abc import Callable
 
-from valeturn.cluster.raft import Facts
+from valeturn.cluster.replicated_state import ClusterState
 from valeturn.maintenance.drain_schedule import (
     BACK,
     BEGAN,
@@ -133,13 +133,13 @@
         self.now = 0.0
         self.number = 0
         self.servers = [Server(chance, number) for number in range(7)]
-        self.facts = Facts()
+        self.facts = ClusterState()
         self.limits = chance.choice(LIMITS)
         self.order = Order(self.limits, LEASE, LASTS, self.now)
 
     def rows(self) -> list[Row]:
         """Return the requests as the log has them."""
-        return [read_row(row) for row in self.facts.turns]
+        return [read_row(row) for row in self.facts.maintenance_records]
 
     def apply(self, fact: tuple) -> None:
         """Commit one fact."""
@@ -236,7 +236,7 @@
     def look(self) -> None:
         """Let the owner look, and commit what it proposes."""
         views = self.views()
-        facts = self.order.look(self.now, self.rows(), views, self.facts.held)
+        facts = self.order.look(self.now, self.rows(), views, self.facts.maintenance_held)
         self.record([list(fact) for fact in facts])
         self.record([[name, why] for name, why in self.order.reasons.items()])
         for fact in facts:
@@ -248,9 +248,9 @@
         rows = self.rows()
         known = self.order.known(self.now, views)
         out = self.order.out(rows, views)
-        self.record([list(row) for row in self.facts.turns])
+        self.record([list(row) for row in self.facts.maintenance_records])
         self.record([[name, list(view)] for name, view in views.items()])
-        self.record([self.facts.fence, self.order.allowed(views), list(known), sorted(out)])
+        self.record([self.facts.fencing_token, self.order.allowed(views), list(known), sorted(out)])
         self.record([self.order.capacity(known, out), self.order.load(known)])
 
 
--- a/tests/digests/raft.py
+++ b/tests/digests/raft.py
@@ -13,7 +13,9 @@
 from collections.abc import Callable, Iterable
 
 from valeturn.cluster import raft as machine
-from valeturn.cluster.raft import Entry, Facts, Kept, Owner, Persist, Send, Told
+from valeturn.cluster.raft import Committed, Persist, RaftNode, Send
+from valeturn.cluster.raft_log import DurableState, LogEntry
+from valeturn.cluster.replicated_state import ClusterState
 from valeturn.transport.seeded_random import Chance
 
 LEASE = 1.0
@@ -38,7 +40,7 @@
 
 def plain_effect(effect: object) -> list[object]:
     """Return an effect as a list that begins with its kind."""
-    for kind, of_class in enumerate((Persist, Send, Told)):
+    for kind, of_class in enumerate((Persist, Send, Committed)):
         if isinstance(effect, of_class):
             return [kind, plain(effect)]
     return [-1, plain(effect)]
@@ -51,8 +53,8 @@
         self.name = name
         self.rate = rate
         self.life = 1
-        self.disk: Kept | None = None
-        self.owner: Owner | None = None
+        self.disk: DurableState | None = None
+        self.owner: RaftNode | None = None
         self.back_at = 0.0
         self.wiped = False
 
@@ -76,8 +78,16 @@
         fence, term = founding
         for voter in self.voters.values():
             chance = Chance(self.chance.randrange(1 << 30))
-            voter.owner = Owner(
-                voter.name, 1, LEASE, chance, self.clock(voter), None, founders, fence=fence, term=term
+            voter.owner = RaftNode(
+                voter.name,
+                1,
+                LEASE,
+                chance,
+                self.clock(voter),
+                None,
+                founders,
+                fencing_token=fence,
+                term=term,
             )
 
     def clock(self, voter: Voter) -> float:
@@ -89,7 +99,7 @@
         self.record([voter.name, [plain_effect(effect) for effect in effects]])
         for effect in effects:
             if isinstance(effect, Persist):
-                voter.disk = effect.kept
+                voter.disk = effect.durable
             elif isinstance(effect, Send):
                 self.send(voter.name, effect.to, effect.kind, effect.fields)
 
@@ -119,7 +129,7 @@
         voter = self.voters.get(to)
         if voter is None or voter.owner is None:
             return
-        self.carry(voter, voter.owner.hear(self.clock(voter), sender, kind, fields))
+        self.carry(voter, voter.owner.receive(self.clock(voter), sender, kind, fields))
 
     def run(self, steps: int) -> None:
         """Play some steps of a storm."""
@@ -154,7 +164,7 @@
     def leader(self) -> str | None:
         """Return the name of one that may act, if there is one."""
         for voter in self.voters.values():
-            if voter.owner is not None and voter.owner.leads(self.clock(voter)):
+            if voter.owner is not None and voter.owner.holds_lease(self.clock(voter)):
                 return voter.name
         return None
 
@@ -169,23 +179,23 @@
         voter.wiped = False
         voter.disk = kept
         chance = Chance(self.chance.randrange(1 << 30))
-        voter.owner = Owner(voter.name, voter.life, LEASE, chance, self.clock(voter), kept)
+        voter.owner = RaftNode(voter.name, voter.life, LEASE, chance, self.clock(voter), kept)
 
     def turn(self, voter: Voter) -> None:
         """Let a voter do what is due, and the leader what it is asked for."""
         owner = voter.owner
         now = self.clock(voter)
         self.carry(voter, owner.tick(now))
-        if owner.leads(now) or self.chance.random() < 0.01:
+        if owner.holds_lease(now) or self.chance.random() < 0.01:
             self.ask(voter, owner, now)
-        if owner.leads(now) and self.chance.random() < 0.05:
+        if owner.holds_lease(now) and self.chance.random() < 0.05:
             self.answer_of_another_life(voter, owner)
         if self.chance.random() < 0.004:
             voter.owner = None
             voter.back_at = self.now + self.chance.uniform(0.2, 4.0) * LEASE
             voter.wiped = self.chance.random() < 0.4
 
-    def ask(self, voter: Voter, owner: Owner, now: float) -> None:
+    def ask(self, voter: Voter, owner: RaftNode, now: float) -> None:
         """Ask for facts, a hand-over or a readmission; most of them of a leader."""
         chance = self.chance
         roll = chance.random()
@@ -194,17 +204,17 @@
             self.record([voter.name, plain(fact), owner.propose(now, fact)])
         elif roll < 0.53:
             name = chance.choice(list(self.voters))
-            self.carry(voter, owner.hand_over(now, name))
+            self.carry(voter, owner.transfer_leadership(now, name))
         else:
             other = chance.choice(list(self.voters.values()))
-            self.record([voter.name, other.name, owner.readmit(now, other.name, other.life)])
+            self.record([voter.name, other.name, owner.readmit_voter(now, other.name, other.life)])
         self.carry(voter, owner.tick(now))
 
-    def answer_of_another_life(self, voter: Voter, owner: Owner) -> None:
+    def answer_of_another_life(self, voter: Voter, owner: RaftNode) -> None:
         """Let a leader hear that its last round was taken, from a life that is over or is to come."""
         other = self.chance.choice(list(self.voters.values()))
         life = other.life + self.chance.choice((-1, 1))
-        fields = [owner.kept.term, owner.round, True, owner.last()[0], life]
+        fields = [owner.durable.term, owner.round_number, True, owner.last_position().last_index, life]
         self.hear(voter.name, other.name, "appended", fields)
 
     def fact(self) -> tuple[object, ...]:
@@ -236,22 +246,22 @@
         return [
             voter.name,
             f"role {owner.role}",
-            owner.leads(self.clock(voter)),
+            owner.holds_lease(self.clock(voter)),
             owner.may_vote(),
             owner.leader,
-            list(owner.last()),
-            owner.commit,
-            owner.applied,
-            plain(owner.facts),
-            plain(owner.facts.duty("duty1")),
+            list(owner.last_position()),
+            owner.commit_index,
+            owner.last_applied,
+            plain(owner.state),
+            plain(owner.state.task_lease("duty1")),
             plain(owner.matched()),
         ]
 
     def stand_and_fall(self, voter: Voter) -> None:
         """Let a voter stand at its leader's word twice, and hear of another leader, then of a higher term."""
         for kind in ("append", "would"):
-            term = voter.owner.kept.term + 1
-            index, last_term = voter.owner.last()
+            term = voter.owner.durable.term + 1
+            index, last_term = voter.owner.last_position()
             self.hear(voter.name, "x", "append", [term, 1, index, last_term, [], 0])
             self.hear(voter.name, "x", "stand", [term])
             self.record(self.figures(voter))
@@ -269,8 +279,8 @@
             if voter.owner is None:
                 voter.back_at = 0.0
                 self.come_back(voter)
-            term = voter.owner.kept.term
-            index, last_term = voter.owner.last()
+            term = voter.owner.durable.term
+            index, last_term = voter.owner.last_position()
             self.hear(voter.name, "x", "append", [term - 1, 1, 0, 0, [], 0])
             self.hear(voter.name, "x", "snapshot", [term - 1, 1, 0, 0, []])
             self.hear(voter.name, "x", "append", [term + 1, 1, index, last_term, [7], 0])
@@ -284,21 +294,29 @@
 
 def play(seed: int, record: Callable[[object], None]) -> None:
     """Play the storm, the strays and the lone voter, recording all effects."""
-    record([machine.KEPT, machine.MOST, machine.BEAT, machine.DRIFT, machine.APART])
-    record(plain(Facts()))
-    record(plain(Kept(entries=(Entry(1, ("begin",)),))))
-    usual = machine.KEPT, machine.MOST, machine.APART
-    machine.KEPT = KEPT_HERE
-    machine.MOST = MOST_HERE
+    record(
+        [
+            machine.LOG_ENTRIES_RETAINED,
+            machine.ENTRIES_PER_MESSAGE,
+            machine.HEARTBEAT_INTERVAL,
+            machine.CLOCK_DRIFT,
+            machine.ELECTION_SPREAD,
+        ]
+    )
+    record(plain(ClusterState()))
+    record(plain(DurableState(entries=(LogEntry(1, ("begin",)),))))
+    usual = machine.LOG_ENTRIES_RETAINED, machine.ENTRIES_PER_MESSAGE, machine.ELECTION_SPREAD
+    machine.LOG_ENTRIES_RETAINED = KEPT_HERE
+    machine.ENTRIES_PER_MESSAGE = MOST_HERE
     try:
         storm = Network(NAMES, seed, record, founding=(0, 0))
         storm.run(STEPS)
         storm.strays()
-        machine.APART = 0.0
+        machine.ELECTION_SPREAD = 0.0
         at_once = Network(NAMES, seed + 2, record, founding=(0, 0))
         at_once.run(STEPS_AT_ONCE)
         lone = Network(NAMES[:1], seed + 1, record, founding=(40, 7))
         lone.run(100)
         lone.strays()
     finally:
-        machine.KEPT, machine.MOST, machine.APART = usual
+        machine.LOG_ENTRIES_RETAINED, machine.ENTRIES_PER_MESSAGE, machine.ELECTION_SPREAD = usual
--- a/tests/digests/vote_persistence.py
+++ b/tests/digests/vote_persistence.py
@@ -5,10 +5,12 @@
 import random
 from collections.abc import Callable
 
-from valeturn.cluster.raft import Facts, Kept, Persist, Send, Told
+from valeturn.cluster.raft import Committed, Persist, Send
+from valeturn.cluster.raft_log import DurableState
+from valeturn.cluster.replicated_state import ClusterState
 from valeturn.cluster.vote_persistence import Keeping
 
-EFFECTS = (Persist, Send, Told)
+EFFECTS = (Persist, Send, Committed)
 STEPS = 5000
 
 
@@ -32,7 +34,7 @@
         """Stand for the write, which the helper never calls here."""
 
 
-def encode(kept: Kept) -> bytes:
+def encode(kept: DurableState) -> bytes:
     """Return what stands for the file."""
     return f"{kept.term}".encode()
 
@@ -43,11 +45,11 @@
     for offset in range(chance.choice([0, 1, 1, 2, 3, 5])):
         kind = chance.random()
         if kind < 0.3:
-            effects.append(Persist(Kept(term=number + offset)))
+            effects.append(Persist(DurableState(term=number + offset)))
         elif kind < 0.8:
             effects.append(Send("b", "vote", [number, offset]))
         else:
-            effects.append(Told(number + offset, ("begin",), Facts(fence=number)))
+            effects.append(Committed(number + offset, ("begin",), ClusterState(fencing_token=number)))
     return effects
 
 
@@ -83,4 +85,4 @@
         wants = keeping.wants_retry(now)
         record([wants, keeping.writing, len(keeping.waiting), helper.asked])
         if wants and chance.random() < 0.7:
-            keeping.write(Kept(term=10 * number + 9))
+            keeping.write(DurableState(term=10 * number + 9))
--- a/tests/lab/test_model_checker.py
+++ b/tests/lab/test_model_checker.py
@@ -3,11 +3,11 @@
 import pytest
 from raft_faults import ActsOnPastItsLease, KeepsNoPromise, VotesTwice
 
-from valeturn.cluster import raft as ow
+from valeturn.cluster.raft import RaftNode
 from valeturn.lab import model_checker as ex
 
 
-class LeadsByAnyAnswer(ow.Owner):
+class LeadsByAnyAnswer(RaftNode):
     """Counts one answer as a majority."""
 
     def _majority(self, names):
@@ -74,7 +74,7 @@
             go("deliver", "c->b voted")
         return broken
 
-    assert play(ow.Owner) is None
+    assert play(RaftNode) is None
     assert play(VotesTwice) == "one leader a term"
 
 
@@ -82,7 +82,7 @@
     one, other = ex.led(), ex.led()
     assert ex.key(one) == ex.key(other)
     for owner in other.owners.values():
-        owner.promised_until -= 0.0
+        owner.votes_withheld_until -= 0.0
     other.now += 50.0
     later = other.clone()
     later.now += 7.0
@@ -90,6 +90,6 @@
     later.flying.append(("a", "b", "would", (1, 1, True)))
     assert ex.key(other) != ex.key(later)
     copy = one.clone()
-    copy.owners["a"].match["z", 1] = 9
+    copy.owners["a"].match_index["z", 1] = 9
     copy.owners["a"].rounds.clear()
-    assert ("z", 1) not in one.owners["a"].match and one.owners["a"].rounds
+    assert ("z", 1) not in one.owners["a"].match_index and one.owners["a"].rounds
--- a/tests/maintenance/test_maintenance.py
+++ b/tests/maintenance/test_maintenance.py
@@ -5,7 +5,7 @@
 import pytest
 
 from valeturn.cluster.membership import ALIVE, LEFT, Member
-from valeturn.cluster.raft import Facts, fact_of
+from valeturn.cluster.replicated_state import ClusterState, decode_command
 from valeturn.lab import turns as lab
 from valeturn.maintenance import drain_schedule as od
 from valeturn.maintenance import local_drain as pl
@@ -22,9 +22,9 @@
 
 
 def facts_of(*rows, facts=None):
-    facts = facts or Facts()
+    facts = facts or ClusterState()
     for row in rows:
-        facts = facts.apply(fact_of(("turn", row.packed())))
+        facts = facts.apply(decode_command(("turn", row.packed())))
     return facts
 
 
@@ -35,7 +35,7 @@
         self.facts, self.order, self.now = facts_of(*rows), od.Order(limits, lease, lasts, now), now
 
     def rows(self):
-        return {row[0]: od.read_row(row) for row in self.facts.turns}
+        return {row[0]: od.read_row(row) for row in self.facts.maintenance_records}
 
     def look(self, views, seconds=0.1, held=False):
         self.now += seconds
@@ -43,7 +43,7 @@
             one.name: one._replace(heard=self.now) if one.there and not one.heard else one for one in views
         }
         for fact in self.order.look(self.now, list(self.rows().values()), views, held):
-            self.facts = self.facts.apply(fact_of(fact))
+            self.facts = self.facts.apply(decode_command(fact))
         return {name: row.state for name, row in self.rows().items()}
 
 
--- a/tests/raft_faults.py
+++ b/tests/raft_faults.py
@@ -1,20 +1,20 @@
 """Faults planted in the consensus, which the checks have to find."""
 
-from valeturn.cluster import raft as ow
+from valeturn.cluster.raft import RaftNode, Role
 
 
-class KeepsNoPromise(ow.Owner):
-    def promise(self):
+class KeepsNoPromise(RaftNode):
+    def vote_withholding_time(self):
         return 0.05 * self.lease
 
 
-class ActsOnPastItsLease(ow.Owner):
-    def leads(self, now):
-        return self.role == ow.LEADER
+class ActsOnPastItsLease(RaftNode):
+    def holds_lease(self, now):
+        return self.role == Role.LEADER
 
 
-class VotesTwice(ow.Owner):
-    def on_vote(self, now, sender, term, index, last_term, handed):
-        if term == self.kept.term:
-            self.kept = self.kept._replace(vote=None)
-        super().on_vote(now, sender, term, index, last_term, handed)
+class VotesTwice(RaftNode):
+    def on_request_vote(self, now, sender, message):
+        if message.term == self.durable.term:
+            self.durable = self.durable._replace(vote=None)
+        super().on_request_vote(now, sender, message)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -20,7 +20,9 @@
 
 from valeturn.cluster import codec, node, peer_connections, vote_file
 from valeturn.cluster.options import FleetOptions
-from valeturn.cluster.raft import Entry, Facts, Kept, Owner, Persist, Send
+from valeturn.cluster.raft import Persist, RaftNode, Send
+from valeturn.cluster.raft_log import DurableState, LogEntry
+from valeturn.cluster.replicated_state import ClusterState
 from valeturn.cluster.task_options import DutyOptions
 from valeturn.control import requests
 from valeturn.lab import restarts
@@ -244,7 +246,8 @@
     """What three voters send one another, with every kind of fact, and what each has to keep at the end."""
     founders = (("a", 1), ("b", 1), ("c", 1))
     owners = {
-        name: Owner(name, 1, 1.0, Chance(number), 0.0, None, founders) for number, name in enumerate("abc", 1)
+        name: RaftNode(name, 1, 1.0, Chance(number), 0.0, None, founders)
+        for number, name in enumerate("abc", 1)
     }
     facts = [
         ("grant", "backup", "a", 1),
@@ -270,20 +273,20 @@
                 data = codec.encode(FLEET, sender, 1, kind, fields)
                 sent.append(data)
                 ((_, _, kind, fields),) = codec.Decoder(FLEET).feed(data)
-                carry(to, owners[to].hear(now, sender, kind, fields))
+                carry(to, owners[to].receive(now, sender, kind, fields))
 
     # "c" comes back once without what it had kept.
     for step in range(64):
         now = 0.125 * step
         if step == 40:
-            owners["c"] = Owner("c", 5, 1.0, Chance(9), now)
+            owners["c"] = RaftNode("c", 5, 1.0, Chance(9), now)
         for name, owner in owners.items():
-            if owner.leads(now) and step % 2 == 0 and facts and owner.propose(now, facts[0]):
+            if owner.holds_lease(now) and step % 2 == 0 and facts and owner.propose(now, facts[0]):
                 del facts[0]
             carry(name, owner.tick(now))
     assert not facts
-    (leader,) = [name for name, owner in owners.items() if owner.leads(now)]
-    carry(leader, owners[leader].hand_over(now, next(name for name in "ab" if name != leader)))
+    (leader,) = [name for name, owner in owners.items() if owner.holds_lease(now)]
+    carry(leader, owners[leader].transfer_leadership(now, next(name for name in "ab" if name != leader)))
     return sent, kept
 
 
@@ -405,9 +408,10 @@
 VOTES = golden("vote/votes.json")
 
 
-def kept_of(said: list[Any]) -> Kept:
+def kept_of(said: list[Any]) -> DurableState:
     term, vote, base, base_term, facts, entries, blank = unplain(said)
-    return Kept(term, vote, base, base_term, Facts(*facts), tuple(Entry(*one) for one in entries), blank)
+    log = tuple(LogEntry(*one) for one in entries)
+    return DurableState(term, vote, base, base_term, ClusterState(*facts), log, blank)
 
 
 @pytest.mark.parametrize("name", sorted(VOTES["good"]))
@@ -450,10 +454,10 @@
     case = VOTES["good"]["voter_b"]
     data = (GOLDEN / "vote" / "voter_b" / "vote").read_bytes()
     life, kept = vote_file.decode(data, *case["of"])
-    owner = Owner("b", life, 1.0, Chance(2), 100.0, kept)
+    owner = RaftNode("b", life, 1.0, Chance(2), 100.0, kept)
     answers = []
     for kind, fields in case["asked"]:
-        for effect in owner.hear(110.0, "a", kind, fields):
+        for effect in owner.receive(110.0, "a", kind, fields):
             if isinstance(effect, Send):
                 answers.append(codec.encode(FLEET, "b", life, effect[1], effect[2]).hex())
     assert answers == case["answers"]
--- a/valeturn/cluster/call_quota.py
+++ b/valeturn/cluster/call_quota.py
@@ -25,8 +25,8 @@
             self.ask_at = now + self.options.round * (0.8 + 0.4 * self.fleet.chance.share())
             fields = self.holder.ask(now, self.need())
             _, facts, owner = self.fleet.facts()
-            row = facts.duty(self.name)
-            owner = row[1] if row is not None else owner
+            row = facts.task_lease(self.name)
+            owner = row.holder if row is not None else owner
             if owner == self.fleet.name:
                 self.on_need(now, owner, *fields)
             elif owner is not None:
--- a/valeturn/cluster/node.py
+++ b/valeturn/cluster/node.py
@@ -19,8 +19,8 @@
 from .fencing import Fences
 from .membership import ALIVE, LEFT, STATES, SUSPECTED, Membership
 from .peer_connections import Links
-from .raft import ROLES, Facts, Owner, Send
-from .raft import Told as Committed
+from .raft import ROLE_NAMES, Committed, RaftNode, Send
+from .replicated_state import ADD_VOTER, GRANT_LEASE, REMOVE_VOTER, ClusterState
 from .vote_persistence import Keeping
 
 TICKS = 12  # a lease
@@ -73,9 +73,9 @@
         self.membership = Membership(
             name, options.listen, options.zone, life, options.seeds, chance, now, options.probe
         )
-        self.owner = self.make_owner(kept=kept)
+        self.owner = self.make_owner(durable=kept)
         self.founding = None
-        if name in options.voters and self.owner.kept.blank and not self.owner.facts.voters:
+        if name in options.voters and self.owner.durable.state_lost and not self.owner.state.voters:
             floor = 0 if options.folder is not None else int(seams.wall()) << limits.EPOCH
             self.founding = Founding(name, self.vote_life, floor, options.voters)
         self.vote = Keeping(self.vote_folder, self.helper, self.encode_vote)
@@ -125,10 +125,10 @@
             return
         if self.vote.failed_at is not None:
             if self.vote.wants_retry(now):
-                self.vote.write(self.owner.kept)
+                self.vote.write(self.owner.durable)
         else:
             self.carry(self.owner.tick(now))
-        term = self.owner.kept.term if self.leads(now) else None
+        term = self.owner.durable.term if self.leads(now) else None
         self.say_role(now, term)
         if self.handing is not None:
             self.go_on_handing_over(now, term)
@@ -154,20 +154,22 @@
                 self.elections += 1
                 self.log("fleet_owner", {"term": term, "without_s": round(now - self.unowned_since, 3)})
             elif self.told_role is not None and self.told_role[1] is not None:
-                self.log("fleet_owner_no_more", {"term": self.told_role[1], "role": ROLES[role]})
+                self.log("fleet_owner_no_more", {"term": self.told_role[1], "role": ROLE_NAMES[role]})
                 self.unowned_since = now
             self.told_role = role, term
         if self.owner.leader not in (None, self.name):  # when its last round was heard
-            self.unowned_since = max(self.unowned_since, self.owner.promised_until - self.owner.promise())
+            self.unowned_since = max(
+                self.unowned_since, self.owner.votes_withheld_until - self.owner.vote_withholding_time()
+            )
 
     def leads(self, now):
-        return not self.silenced and self.vote.failed_at is None and self.owner.leads(now)
+        return not self.silenced and self.vote.failed_at is None and self.owner.holds_lease(now)
 
     def acts(self, name):
         """The fence under which this server may have an effect for that duty at this moment, or None: to be
         asked after every wait and before every effect."""
         duty = self.duties.duties.get(name)
-        if duty is None or not self.leads(self.clock()) or not duty.holds(self.owner.kept.term):
+        if duty is None or not self.leads(self.clock()) or not duty.holds(self.owner.durable.term):
             return None
         return duty.fence
 
@@ -182,9 +184,9 @@
             self.carry_membership(self.membership.hear(now, sender, message.life, kind, fields, at))
         elif self.silenced:
             return
-        elif kind in Owner.KINDS:
+        elif kind in RaftNode.KINDS:
             if self.vote.failed_at is None:
-                self.carry(self.owner.hear(now, sender, kind, fields))
+                self.carry(self.owner.receive(now, sender, kind, fields))
         else:
             taker = next((one for one in (self, *self.others) if kind in one.KINDS), None)
             if taker is None:
@@ -253,21 +255,21 @@
 
     def committed(self, told):
         """A fact holds from now on."""
-        if told.fact[0] == "grant":
-            _, name, owner, life = told.fact
-            fence = told.facts.duty(name)[3]
+        if told.command[0] == GRANT_LEASE:
+            _, name, owner, life = told.command
+            fence = told.state.task_lease(name).fencing_token
             self.fences.passes(name, fence)
             now = self.clock()
             if (owner, life) == (self.name, self.vote_life) and self.leads(now):
-                term = self.owner.kept.term
-                if self.owner.term_of(told.index) == term:
+                term = self.owner.durable.term
+                if self.owner.term_of(told.log_index) == term:
                     self.carry_duties(self.duties.granted(now, term, name, fence))
-        if told.fact[0] in ("admit", "dismiss"):
+        if told.command[0] in (ADD_VOTER, REMOVE_VOTER):
             self.log(
                 "fleet_voters",
                 {
-                    "fact": " ".join(str(word) for word in told.fact),
-                    "voters": ",".join(name for name, _ in told.facts.voters),
+                    "fact": " ".join(str(word) for word in told.command),
+                    "voters": ",".join(name for name, _ in told.state.voters),
                 },
             )
 
@@ -287,23 +289,23 @@
     def facts(self):
         """(term, facts, owner as far as is known here)"""
         if self.owner.may_vote() or self.heard_facts is None:
-            return self.owner.kept.term, self.owner.facts, self.owner.leader
+            return self.owner.durable.term, self.owner.state, self.owner.leader
         return self.heard_facts[:3]
 
     def tell(self, now, term):
         """The owner tells those that do not vote what holds; who remembers nothing says so."""
         if term is not None:
-            facts = self.owner.facts
+            facts = self.owner.state
             voting = {name for name, _ in facts.voters}
-            fields, mark = [term, facts.packed()], (term, self.owner.commit)
+            fields, mark = [term, facts.encode()], (term, self.owner.commit_index)
             for name in self.membership.alive():
                 before = self.told_facts.get(name)
                 if name not in voting and (before is None or before[0] != mark or now - before[1] >= REMIND):
                     self.told_facts[name] = mark, now
                     self.send(name, "facts", fields)
-        if not self.owner.kept.blank:  # it was admitted by others that had founded without it
+        if not self.owner.durable.state_lost:  # it was admitted by others that had founded without it
             self.founding = None
-        if self.founding is not None or self.owner.kept.blank:
+        if self.founding is not None or self.owner.durable.state_lost:
             word = (
                 self.founding.word()
                 if self.founding is not None
@@ -336,33 +338,35 @@
         self.founded_set = self.founding.founded
         self.founding = None
         voters = tuple((name, life) for name, life, _ in self.founded_set)
-        self.owner = self.make_owner(voters=voters, fence=max(floor for _, _, floor in self.founded_set))
+        self.owner = self.make_owner(
+            voters=voters, fencing_token=max(floor for _, _, floor in self.founded_set)
+        )
         self.log("fleet_founded", {"voters": ",".join(name for name, _ in voters)})
 
     def admit(self, now):
         """The owner takes voters back that lost their memory, and in those that an operator named."""
-        voters = dict(self.owner.facts.voters)
+        voters = dict(self.owner.state.voters)
         named = {*voters, *self.asked_in, *self.options.voters}
         for name, life in list(self.wanted.items()):
             if voters.get(name) == life:
                 del self.wanted[name]
                 self.asked_in.discard(name)
             elif name in named:
-                self.owner.readmit(now, name, life)
+                self.owner.readmit_voter(now, name, life)
         if self.wanted:
             self.carry(self.owner.tick(now))
 
     def on_facts(self, now, sender, term, packed):
-        if self.owner.may_vote() and self.epoch(packed[2]) <= self.epoch(self.owner.facts.fence):
+        if self.owner.may_vote() and self.epoch(packed[2]) <= self.epoch(self.owner.state.fencing_token):
             return
-        facts = Facts.read(packed)
-        if self.heard_facts is not None and (term, facts.fence) < (
+        facts = ClusterState.decode(packed)
+        if self.heard_facts is not None and (term, facts.fencing_token) < (
             self.heard_facts[0],
-            self.heard_facts[1].fence,
+            self.heard_facts[1].fencing_token,
         ):
             return
         self.heard_facts = term, facts, sender, now
-        for name, _, _, fence in facts.duties:
+        for name, _, _, fence in facts.task_leases:
             self.fences.passes(name, fence)
         if self.owner.may_vote() and (self.name, self.vote_life) not in facts.voters:
             self.forget()
@@ -382,7 +386,7 @@
         self.vote_life = self.duties.life = max(int(1000 * self.seams.wall()), self.vote_life + 1)
 
     def make_owner(self, **how):
-        return Owner(self.name, self.vote_life, self.options.lease, self.chance, self.clock(), **how)
+        return RaftNode(self.name, self.vote_life, self.options.lease, self.chance, self.clock(), **how)
 
     # ---- shares of the calls
 
@@ -447,7 +451,7 @@
         now = self.clock()
         self.handing = to or ""
         self.carry_duties(self.duties.tick(now, None))
-        self.go_on_handing_over(now, self.owner.kept.term)
+        self.go_on_handing_over(now, self.owner.durable.term)
         return None
 
     def go_on_handing_over(self, now, term):
@@ -459,17 +463,17 @@
             fit = self.successors()
             if fit:
                 to = self.handing if self.handing in fit else fit[int(self.chance.share() * len(fit))]
-                self.carry(self.owner.hand_over(now, to))
+                self.carry(self.owner.transfer_leadership(now, to))
                 self.handing = None
 
     def successors(self):
         """Voters that are there and have all that is in this one's log."""
-        alive, last = set(self.membership.alive()), self.owner.last()[0]
+        alive, last = set(self.membership.alive()), self.owner.last_position().last_index
         return [name for name, at in self.owner.matched() if name in alive - {self.name} and at == last]
 
     def change_voters(self, what, name):
         """One at a time. None, or why not."""
-        now, voters = self.clock(), dict(self.owner.facts.voters)
+        now, voters = self.clock(), dict(self.owner.state.voters)
         if not self.leads(now):
             return f"{self.name} is not the owner; {self.facts()[2] or 'nobody'} is"
         if what == "admit":
@@ -487,7 +491,7 @@
             return "an owner does not dismiss itself: hand over first"
         if len(voters) == 1:
             return "the last voter stays"
-        if not self.propose(("dismiss", name)):
+        if not self.propose((REMOVE_VOTER, name)):
             return "another change of voters is under way"
         self.asked_in.discard(name)
         return None
@@ -500,17 +504,17 @@
             return "there is an owner: this server"
         if (
             self.owner.role == 0
-            and now < self.owner.promised_until
+            and now < self.owner.votes_withheld_until
             and self.owner.leader is not None
             and (now - self.started_at > 2 * self.options.lease)
         ):
             return f"there is an owner: {self.owner.leader}"
         _, facts, _ = self.facts()
-        floor = (self.epoch(max([facts.fence, *self.fences.seen.values()])) + 1) << limits.EPOCH
+        floor = (self.epoch(max([facts.fencing_token, *self.fences.seen.values()])) + 1) << limits.EPOCH
         self.vote_anew()
         self.founding = None
         voters = ((self.name, self.vote_life),)
-        self.owner = self.make_owner(voters=voters, fence=floor, term=self.owner.kept.term + 1)
+        self.owner = self.make_owner(voters=voters, fencing_token=floor, term=self.owner.durable.term + 1)
         self.log("fleet_revived", {"fence": floor})
         return None
 
@@ -522,7 +526,7 @@
             return "its disk does not keep its vote"
         if self.founding is not None:
             return "waits for the others named to vote"
-        return "remembers no vote" if self.owner.kept.blank else ROLES[self.owner.role]
+        return "remembers no vote" if self.owner.durable.state_lost else ROLE_NAMES[self.owner.role]
 
     def status(self):
         now = self.clock()
@@ -533,7 +537,7 @@
             "name": self.options.name,
             "owner": self.name if leads else owner,
             "term": term,
-            "fence": facts.fence,
+            "fence": facts.fencing_token,
             "lease_left_s": round(max(0.0, self.owner.lease_until - now), 3) if leads else None,
             "role": self.role(),
             "voters": [name for name, _ in facts.voters],
@@ -550,7 +554,9 @@
                 for m in sorted(members)
             ],
             "duties": self.duties.figures(now),
-            "owners": [{"duty": duty, "owner": one, "fence": fence} for duty, one, _, fence in facts.duties],
+            "owners": [
+                {"duty": duty, "owner": one, "fence": fence} for duty, one, _, fence in facts.task_leases
+            ],
             "share": None if self.calls is None else self.calls.figures(now),
             "split": self.calls.split_figures(now) if self.calls is not None and leads else None,
             "links": len(self.links.links),
@@ -565,8 +571,8 @@
             "alive": 1 + states.count(ALIVE),
             "suspected": states.count(SUSPECTED),
             "leads": int(self.leads(now)),
-            "term": self.owner.kept.term,
-            "fence": self.facts()[1].fence,
+            "term": self.owner.durable.term,
+            "fence": self.facts()[1].fencing_token,
             "links": len(self.links.links),
             "doubt": self.membership.doubt,
             "elections": self.elections,
--- a/valeturn/cluster/quota.py
+++ b/valeturn/cluster/quota.py
@@ -19,7 +19,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from .raft import DRIFT
+from .raft import CLOCK_DRIFT
 
 NEVER_LENT = 0.25  # of the sure share: what a server that has just started, or needs nothing, may always use
 MARGIN = 1.25  # of what is needed: need rises by a quarter within a round at most where load is steady
@@ -85,7 +85,7 @@
 
 def less_time(lasts):
     """s of its own clock that a server keeps a promise of less: at least twice `lasts` by any clock."""
-    return 2 * lasts * (1 + DRIFT)
+    return 2 * lasts * (1 + CLOCK_DRIFT)
 
 
 class Place:
@@ -107,7 +107,9 @@
     def __init__(self, now, fence, cap, largest, lasts):
         self.fence, self.cap, self.largest, self.lasts = fence, cap, largest, lasts
         self.sure, self.number, self.places = cap / largest, 0, {}
-        self.more_from = now + lasts * (1 + DRIFT)  # until then grants of an earlier owner may still hold
+        self.more_from = now + lasts * (
+            1 + CLOCK_DRIFT
+        )  # until then grants of an earlier owner may still hold
         self.targets, self.split_at = {}, -math.inf
 
     def asked(self, now, name, need, stamp, holding):
@@ -149,14 +151,14 @@
 
     def _over(self, row):
         """When a grant can't be taken any more, and more that was taken is over, by this clock."""
-        return row[2] + self.lasts * (1 + DRIFT)
+        return row[2] + self.lasts * (1 + CLOCK_DRIFT)
 
     def most(self, now, name):
         """The most that a server may use at any moment of the next `lasts`."""
         place = self.places.get(name)
         if place is None:
             return self.sure
-        counted = place.held is not None and place.until >= now + self.lasts * (1 + DRIFT)
+        counted = place.held is not None and place.until >= now + self.lasts * (1 + CLOCK_DRIFT)
         most = place.held if counted else self.sure
         for _, amount, _ in (row for row in place.sent if now < self._over(row)):
             most = max(most, amount)
--- a/valeturn/cluster/raft.py
+++ b/valeturn/cluster/raft.py
@@ -1,545 +1,665 @@
-"""Who owns what the fleet does once: terms, votes, a leader's lease, a small log of facts. No I/O.
-
-After "In Search of an Understandable Consensus Algorithm" (Raft; Ongaro, Ousterhout) and Ongaro's thesis
-(pre-vote, leadership transfer, one change of voters at a time). What differs, and why it holds, is in
-docs/design/one-owner.md:
-
-- A leader's lease: it acts only until `lease` after the sending of the last round that a majority
-  answered, by its own clock, which goes on through suspend; who answered gives no vote for `lease` x (1 +
-  DRIFT) by its own. So no other can lead while it acts, as long as no clock runs DRIFT faster than another.
-- What a voter must not forget (term, vote, log) is handed out as a Persist effect, which has to be
-  durable before the sends after it go out. A voter that came back without it is *blank*: it gives no vote
-  and counts in no majority until the leader has committed a fact that names its new life.
-
-The log's facts are a few: who owns a duty under which fence, who votes. Its state is the snapshot.
+"""Raft consensus for one node of the cluster, as a state machine without I/O.
+
+Follows "In Search of an Understandable Consensus Algorithm" (Raft; Ongaro and Ousterhout, 2014) and Ongaro's
+thesis (pre-vote, leadership transfer, one change of voters at a time). Messages and the time go in; what to
+store, what to send and what was committed come out. docs/design/one-owner.md argues for what differs:
+
+- Leader lease: a leader acts only until `lease` after it sent the last round of heartbeats that a majority
+  acknowledged, by its own clock, which goes on through suspend. A voter that acknowledged a round gives no
+  vote for `lease` x (1 + CLOCK_DRIFT) by its own clock. So no other leader can act meanwhile, as long as no
+  clock runs faster than another by more than CLOCK_DRIFT.
+- Lost durable state: what a voter has to remember (term, vote, log) is handed out as a `Persist` effect,
+  which has to be durable before the sends that follow it go out. A voter that returns without that state
+  gives no vote and counts in no majority until the leader's log has a command that adds its new incarnation.
+
+The log itself is in raft_log.py and the state that it replicates in replicated_state.py. This file is longer
+than 400 lines because the handlers of all messages and roles share one set of fields, and are read together.
 """
 
 from __future__ import annotations
 
-from typing import NamedTuple
-
-# Roles.
-FOLLOWER, SOUNDING, CANDIDATE, LEADER = range(4)
-ROLES = ("follower", "sounding", "candidate", "leader")
-# Inputs that move a role. HIGHER: a message of a higher term. LED: one of this term's leader. SILENT: nothing
-# of a leader for the election time. BACKED: a majority would vote, or has. OUT: the lease could not be
-# renewed in time. HANDED: the leader asks this one to stand at once.
-HIGHER, LED, SILENT, BACKED, OUT, HANDED = range(6)
-
-# (role, input) -> (next role, effect). A pair that is missing changes nothing.
-TABLE = {
-    (FOLLOWER, SILENT): (SOUNDING, "sound_out"),
-    (FOLLOWER, HANDED): (CANDIDATE, "stand"),
-    (FOLLOWER, HIGHER): (FOLLOWER, "take_term"),
-    (FOLLOWER, LED): (FOLLOWER, "follow"),
-    (SOUNDING, BACKED): (CANDIDATE, "stand"),
-    (SOUNDING, SILENT): (SOUNDING, "sound_out"),
-    (SOUNDING, HIGHER): (FOLLOWER, "take_term"),
-    (SOUNDING, LED): (FOLLOWER, "follow"),
-    (SOUNDING, HANDED): (CANDIDATE, "stand"),
-    (CANDIDATE, BACKED): (LEADER, "lead"),
-    (CANDIDATE, SILENT): (SOUNDING, "sound_out"),
-    (CANDIDATE, HIGHER): (FOLLOWER, "take_term"),
-    (CANDIDATE, LED): (FOLLOWER, "follow"),
-    (LEADER, HIGHER): (FOLLOWER, "take_term"),
-    (LEADER, OUT): (FOLLOWER, "step_down"),
+from collections.abc import Callable, Iterable
+from enum import IntEnum
+from typing import Any, ClassVar, NamedTuple, Protocol
+
+from . import raft_messages as messages
+from .raft_log import DurableState, LogEntry, LogPosition
+from .raft_messages import (
+    AppendEntries,
+    AppendResponse,
+    InstallSnapshot,
+    PreVote,
+    PreVoteResponse,
+    RequestVote,
+    TimeoutNow,
+    VoteResponse,
+)
+from .replicated_state import (
+    ADD_VOTER,
+    NO_OP,
+    REMOVE_VOTER,
+    VOTER_CHANGES,
+    ClusterState,
+    Command,
+    Voter,
+    decode_command,
+)
+
+
+class Role(IntEnum):
+    """What a node does at present."""
+
+    FOLLOWER = 0
+    PRE_CANDIDATE = 1
+    CANDIDATE = 2
+    LEADER = 3
+
+
+# As `status` and the log of events print them, by the number of the role.
+ROLE_NAMES = ("follower", "sounding", "candidate", "leader")
+
+
+class Event(IntEnum):
+    """What may move a node to another role."""
+
+    HIGHER_TERM = 0  # a message of a higher term
+    LEADER_MESSAGE = 1  # a message of this term's leader
+    ELECTION_TIMEOUT = 2  # nothing of a leader for the election time-out
+    MAJORITY = 3  # a majority would vote for this node, or has
+    LEASE_EXPIRED = 4  # the lease could not be renewed in time
+    TIMEOUT_NOW = 5  # the leader asks this node to start an election at once
+
+
+# (role, event) -> (next role, method). A pair that is missing changes nothing.
+TRANSITIONS = {
+    (Role.FOLLOWER, Event.ELECTION_TIMEOUT): (Role.PRE_CANDIDATE, "_start_pre_vote"),
+    (Role.FOLLOWER, Event.TIMEOUT_NOW): (Role.CANDIDATE, "_start_election"),
+    (Role.FOLLOWER, Event.HIGHER_TERM): (Role.FOLLOWER, "_adopt_term"),
+    (Role.FOLLOWER, Event.LEADER_MESSAGE): (Role.FOLLOWER, "_follow"),
+    (Role.PRE_CANDIDATE, Event.MAJORITY): (Role.CANDIDATE, "_start_election"),
+    (Role.PRE_CANDIDATE, Event.ELECTION_TIMEOUT): (Role.PRE_CANDIDATE, "_start_pre_vote"),
+    (Role.PRE_CANDIDATE, Event.HIGHER_TERM): (Role.FOLLOWER, "_adopt_term"),
+    (Role.PRE_CANDIDATE, Event.LEADER_MESSAGE): (Role.FOLLOWER, "_follow"),
+    (Role.PRE_CANDIDATE, Event.TIMEOUT_NOW): (Role.CANDIDATE, "_start_election"),
+    (Role.CANDIDATE, Event.MAJORITY): (Role.LEADER, "_become_leader"),
+    (Role.CANDIDATE, Event.ELECTION_TIMEOUT): (Role.PRE_CANDIDATE, "_start_pre_vote"),
+    (Role.CANDIDATE, Event.HIGHER_TERM): (Role.FOLLOWER, "_adopt_term"),
+    (Role.CANDIDATE, Event.LEADER_MESSAGE): (Role.FOLLOWER, "_follow"),
+    (Role.LEADER, Event.HIGHER_TERM): (Role.FOLLOWER, "_adopt_term"),
+    (Role.LEADER, Event.LEASE_EXPIRED): (Role.FOLLOWER, "_step_down"),
 }
 
-BEAT = 0.25  # of the lease between rounds: three may be lost before it runs out
-DRIFT = 0.02  # by which one clock may run faster than another: a hundred times what quartz does
-APART = 0.5  # of the lease, over which election times are spread by chance, so that one stands first
-KEPT = 256  # entries of the log kept behind the snapshot
-MOST = 64  # entries in one message
-
-
-class Entry(NamedTuple):
-    term: int
-    fact: tuple  # (kind, ...): see Facts
-
-
-def fact_of(said):
-    """A fact as the log has it, from a list of a message or a file."""
-    return tuple(tuple(one) if isinstance(one, list) else one for one in said)
-
-
-class Facts(NamedTuple):
-    """What the log says, applied in order; a value."""
-
-    voters: tuple = ()  # (name, life) of those that vote
-    duties: tuple = ()  # (duty, owner, life, fence), by duty
-    fence: int = 0  # the largest handed out
-    turns: tuple = ()  # rows of machines that go out for work, by server: see maintenance/drain_schedule.py
-    held: bool = False  # nobody else goes out
-
-    def duty(self, name):
-        return next((row for row in self.duties if row[0] == name), None)
-
-    def apply(self, fact):
-        kind, *what = fact
-        if kind == "grant":  # duty, owner, life: the fence only rises
-            duty, owner, life = what
-            rows = [row for row in self.duties if row[0] != duty]
-            fence = self.fence + 1
-            return self._replace(duties=tuple(sorted([*rows, (duty, owner, life, fence)])), fence=fence)
-        if kind == "drop":
-            return self._replace(duties=tuple(row for row in self.duties if row[0] != what[0]))
-        if kind == "turn":  # a row: server, number, ..., its state and fence, which a grant allots
-            return self._turn(*what)
-        if kind == "turned":
-            return self._replace(turns=tuple(row for row in self.turns if row[0] != what[0]))
-        if kind == "hold":
-            return self._replace(held=bool(what[0]))
-        # name, life: votes from now on; an earlier life is dismissed first, by a fact of its own
-        if kind == "admit":
-            name, life = what
-            if name in dict(self.voters):
-                return self
-            return self._replace(voters=tuple(sorted([*self.voters, (name, life)])))
-        if kind == "dismiss":
-            return self._replace(voters=tuple((n, x) for n, x in self.voters if n != what[0]))
-        if kind == "epoch":  # after a revival by command: above all that was ever handed out
-            return self._replace(fence=max(self.fence, what[0]))
-        return self  # "begin": a new leader's first entry
-
-    def _turn(self, row):
-        row, fence = list(row), self.fence
-        if row[STATE] == GRANTED and not row[FENCE]:
-            row[FENCE] = fence = fence + 1
-        rows = [one for one in self.turns if one[0] != row[0]]
-        return self._replace(turns=tuple(sorted([*rows, tuple(row)])), fence=fence)
-
-    def packed(self):
-        return [
-            [list(row) for row in self.voters],
-            [list(row) for row in self.duties],
-            self.fence,
-            [list(row) for row in self.turns],
-            self.held,
-        ]
-
-    @classmethod
-    def read(cls, said):
-        """From what `packed` gave. Raises TypeError or ValueError where it is none."""
-        voters, duties, fence, turns, held = said
-        return cls(
-            tuple((str(n), int(life)) for n, life in voters),
-            tuple((str(d), str(o), int(life), int(f)) for d, o, life, f in duties),
-            int(fence),
-            tuple(tuple(row) for row in turns),
-            bool(held),
-        )
-
+# Heartbeat interval as a fraction of the lease: three rounds may be lost before the lease expires.
+HEARTBEAT_INTERVAL = 0.25
+# By which fraction one clock may run faster than another: a hundred times what quartz oscillators do.
+CLOCK_DRIFT = 0.02
+# Fraction of the lease over which election time-outs are randomized, so that one node starts first.
+ELECTION_SPREAD = 0.5
+# Entries after the snapshot at twice which the log is compacted: enough for a follower that missed a while.
+LOG_ENTRIES_RETAINED = 256
+# Entries in one message: keeps a message of usual commands at some kilobytes.
+ENTRIES_PER_MESSAGE = 64
 
-STATE, FENCE, GRANTED = 5, 6, 1  # of a turn's row, as maintenance/drain_schedule.py has it
+# Stored as the vote by a node that can't know whom it voted for in this term: it votes for nobody else.
+UNKNOWN_CANDIDATE = "somebody"
+# The command of a `Committed` effect that stands for a whole snapshot.
+SNAPSHOT_INSTALLED = ("snapshot",)
+NEVER = -1.0  # a time that has passed on every clock
 
 
-class Kept(NamedTuple):
-    """What a voter must not forget."""
+class RandomSource(Protocol):
+    """Where the randomized election time-outs come from."""
 
-    term: int = 0
-    vote: str | None = None
-    base: int = 0  # entries that stand in the snapshot
-    base_term: int = 0
-    facts: Facts = Facts()  # the snapshot
-    entries: tuple = ()  # behind it
-    blank: bool = False  # it forgot what it had kept under an earlier life, and was not readmitted yet
+    def share(self) -> float:
+        """Return a number from 0 up to 1."""
 
 
 class Persist(NamedTuple):
-    """To be durable before any send after it."""
+    """Make this state durable before any later send goes out."""
 
-    kept: Kept
+    durable: DurableState
 
 
 class Send(NamedTuple):
+    """Send a message to another node."""
+
     to: str
     kind: str
-    fields: list
-
-
-class Told(NamedTuple):
-    """Committed: the fact at this index, and what holds after it."""
-
-    index: int
-    fact: tuple
-    facts: Facts
-
-
-class Owner:
-    """One voter, or one that only listens. `kept` is what it found on its disk, or None where it has none."""
-
-    def __init__(self, name, life, lease, chance, now, kept=None, voters=(), fence=0, term=0):
-        """lease: s. voters: of a fleet that begins: the same (name, life) pairs everywhere, and no kept.
-        fence: above which its numbers begin; term: after which its terms do, where an earlier fleet is
-        revived."""
-        self.name, self.life, self.lease, self.chance = name, life, lease, chance
-        if kept is None:  # founders stand in a snapshot of index 1: one that knows nothing is sent it
-            facts = Facts(voters=tuple(sorted(voters)), fence=fence)
-            kept = Kept(term=term, base=int(bool(voters)), facts=facts, blank=not voters)
-        self.kept, self.facts = kept, kept.facts
-        self.commit = self.applied = kept.base
-        self.role, self.leader = FOLLOWER, None
-        # A voter that has just started may have answered a leader right before: it waits as if it had.
-        self.promised_until = now + self.promise()
-        self.backers, self.round, self.rounds = set(), 0, {}  # rounds: number -> [sent at, who answered]
-        self.lease_until, self.out_at, self.beat_at = -1.0, now, now
-        self.handing = False  # it has handed over: it never acts in this term again
-        self.next, self.match = {}, {}
-        self.out, self.dirty = [], bool(voters)  # a founder remembers from the first that it is one
-        self._wait(now)
-
-    # ---- what others ask of it
-
-    def leads(self, now):
-        """Whether it may act for the fleet at this moment: to be asked after every wait and before every
-        effect."""
-        return self.role == LEADER and now < self.lease_until
-
-    def last(self):
-        """(index, term) of its log's end."""
-        kept = self.kept
-        return kept.base + len(kept.entries), kept.entries[-1].term if kept.entries else kept.base_term
-
-    def may_vote(self):
-        return not self.kept.blank and (self.name, self.life) in self._voters()
-
-    def _voters(self):
-        """Those of the newest configuration in its log, committed or not, as Raft has it."""
-        facts = self.kept.facts
-        for entry in self.kept.entries:
-            if entry.fact[0] in ("admit", "dismiss"):
-                facts = facts.apply(entry.fact)
-        return facts.voters
-
-    def _others(self):
-        return [name for name, _ in self._voters() if name != self.name]
-
-    def _majority(self, names):
-        voters = {name for name, _ in self._voters()}
+    fields: list[Any]
+
+
+class Committed(NamedTuple):
+    """Report the command committed at an index, and the state after it."""
+
+    log_index: int
+    command: Command
+    state: ClusterState
+
+
+Effect = Persist | Send | Committed
+
+
+class HeartbeatRound(NamedTuple):
+    """One round of messages to all voters."""
+
+    sent_at: float  # s, by the leader's clock
+    acknowledged_by: set[str]
+
+
+class RaftNode:
+    """A voter, or a node that only receives the log.
+
+    All times are in seconds of this node's clock, which has to go on through suspend.
+
+    Attributes:
+        durable: The term, vote and log, as last handed out to be made durable or about to be.
+        state: The state after all committed commands known here.
+        commit_index: The last entry known to be committed.
+        last_applied: The last entry that `state` includes.
+        role: What the node does at present.
+        leader: The leader of this term, as far as is known.
+        lease_until: Until when a leader may act.
+        votes_withheld_until: Until when no vote is given, as a leader's lease may rely on it.
+    """
+
+    # Kind of message -> (what its fields mean, the method that receives it).
+    KINDS: ClassVar[dict[str, tuple[Callable[..., Any], str]]] = {
+        messages.PRE_VOTE: (PreVote, "on_pre_vote"),
+        messages.PRE_VOTE_RESPONSE: (PreVoteResponse, "on_pre_vote_response"),
+        messages.REQUEST_VOTE: (RequestVote, "on_request_vote"),
+        messages.VOTE_RESPONSE: (VoteResponse, "on_vote_response"),
+        messages.TIMEOUT_NOW: (TimeoutNow, "on_timeout_now"),
+        messages.APPEND_ENTRIES: (AppendEntries, "on_append_entries"),
+        messages.INSTALL_SNAPSHOT: (InstallSnapshot, "on_install_snapshot"),
+        messages.APPEND_RESPONSE: (AppendResponse, "on_append_response"),
+    }
+
+    def __init__(  # noqa: PLR0913, PLR0917 - the state of a restart and that of a bootstrap exclude one another
+        self,
+        name: str,
+        incarnation: int,
+        lease: float,
+        random_source: RandomSource,
+        now: float,
+        durable: DurableState | None = None,
+        voters: Iterable[tuple[str, int]] = (),
+        fencing_token: int = 0,
+        term: int = 0,
+    ) -> None:
+        """Start as a follower.
+
+        Args:
+            name: The node's name, unique in the cluster.
+            incarnation: The number of its durable state: a node that lost it has another one.
+            lease: Length of a leader's lease, s.
+            random_source: For the election time-outs.
+            now: The time, s.
+            durable: What was found on disk, or None where there was nothing.
+            voters: At bootstrap, the same (name, incarnation) pairs on all nodes; then there is no `durable`.
+            fencing_token: At bootstrap, the number above which fencing tokens begin.
+            term: At bootstrap, the term after which terms begin, where an earlier cluster is restored.
+        """
+        self.name = name
+        self.incarnation = incarnation
+        self.lease = lease
+        self.random_source = random_source
+        founders = tuple(sorted(Voter(*voter) for voter in voters))
+        if durable is None:
+            # The founders are a snapshot of index 1, so that a node that knows nothing is sent it.
+            snapshot = ClusterState(voters=founders, fencing_token=fencing_token)
+            durable = DurableState(
+                term=term, snapshot_index=int(bool(founders)), snapshot=snapshot, state_lost=not founders
+            )
+        self.durable = durable
+        self.state = durable.snapshot
+        self.commit_index = durable.snapshot_index
+        self.last_applied = durable.snapshot_index
+        self.role = Role.FOLLOWER
+        self.leader: str | None = None
+        # A voter that has just started may have acknowledged a leader right before: it waits as if it had.
+        self.votes_withheld_until = now + self.vote_withholding_time()
+        self.votes_granted: set[str] = set()
+        self.round_number = 0
+        self.rounds: dict[int, HeartbeatRound] = {}
+        self.lease_until = NEVER
+        self.step_down_at = now
+        self.heartbeat_at = now
+        # Set once leadership is being transferred: this leader never acts in its term again.
+        self.transferring = False
+        self.next_index: dict[str, int] = {}
+        self.match_index: dict[tuple[str, int], int] = {}
+        self._effects: list[Effect] = []
+        self._durable_changed = bool(founders)  # a founder remembers from the start that it is one
+        self._reset_election_timeout(now)
+
+    # ---- queries
+
+    def holds_lease(self, now: float) -> bool:
+        """Return whether this leader may act, to be asked after every wait and before every effect."""
+        return self.role == Role.LEADER and now < self.lease_until
+
+    def last_position(self) -> LogPosition:
+        """Return the position of the log's last entry."""
+        return self.durable.last_position()
+
+    def term_of(self, index: int) -> int | None:
+        """Return the term of an entry, or None where the log doesn't have it."""
+        return self.durable.term_of(index)
+
+    def may_vote(self) -> bool:
+        """Return whether this node is a voter that has its durable state."""
+        return not self.durable.state_lost and (self.name, self.incarnation) in self.voters()
+
+    def voters(self) -> tuple[Voter, ...]:
+        """Return the voters of the latest configuration in the log, committed or not."""
+        return self.durable.latest_voters()
+
+    def matched(self) -> list[tuple[str, int]]:
+        """Return for each voter up to which index the log of its present incarnation is known to agree."""
+        return [(name, self.match_index.get((name, incarnation), 0)) for name, incarnation in self.voters()]
+
+    def vote_withholding_time(self) -> float:
+        """Return for how long, in s, a voter that acknowledged a leader gives no vote."""
+        return self.lease * (1 + CLOCK_DRIFT)
+
+    def _peers(self) -> list[str]:
+        return [name for name, _ in self.voters() if name != self.name]
+
+    def _majority(self, names: Iterable[str]) -> bool:
+        voters = {name for name, _ in self.voters()}
         return 2 * len(set(names) & voters) > len(voters)
 
-    # ---- time
-
-    def tick(self, now):
-        """To be called a dozen times a lease. Returns effects, in order."""
-        if self.role == LEADER:
-            if now >= self.out_at:
-                self._step(now, OUT)
-            elif now >= self.beat_at:
-                self._beat(now)
-        elif now >= self.stand_at and self.may_vote() and now >= self.promised_until:
-            self._step(now, SILENT)
-        return self._taken()
-
-    def propose(self, now, fact):
-        """The leader's: a fact for the log. False where it can't be proposed now; one change of voters at a
-        time."""
-        changes = [e for e in self._behind(self.commit) if e.fact[0] in ("admit", "dismiss")]
-        if not self.leads(now) or fact[0] in ("admit", "dismiss") and (changes or not self._began()):
+    def _may_change_voters(self) -> bool:
+        """Return whether no change is under way and an entry of this term is committed (thesis, erratum)."""
+        uncommitted = self.durable.entries_after(self.commit_index)
+        if any(entry.command[0] in VOTER_CHANGES for entry in uncommitted):
+            return False
+        return self.term_of(self.commit_index) == self.durable.term
+
+    # ---- time and requests of the server
+
+    def tick(self, now: float) -> list[Effect]:
+        """Do what is due and return the effects in order; to be called a dozen times a lease."""
+        if self.role == Role.LEADER:
+            if now >= self.step_down_at:
+                self._transition(now, Event.LEASE_EXPIRED)
+            elif now >= self.heartbeat_at:
+                self._send_heartbeats(now)
+        elif now >= self.election_at and self.may_vote() and now >= self.votes_withheld_until:
+            self._transition(now, Event.ELECTION_TIMEOUT)
+        return self.take_effects()
+
+    def propose(self, now: float, command: Command) -> bool:
+        """Append a command to the leader's log; its effects come with the next `tick`.
+
+        Returns:
+            False where it can't be proposed now: without a lease, or where another change of voters is under
+            way.
+        """
+        if not self.holds_lease(now):
+            return False
+        if command[0] in VOTER_CHANGES and not self._may_change_voters():
             return False
-        if tuple(fact[:2]) == ("dismiss", self.name):  # it hands over first
+        if tuple(command[:2]) == (REMOVE_VOTER, self.name):  # it transfers its leadership first
             return False
-        self._append(Entry(self.kept.term, fact_of(fact)))
-        self._beat(now)
+        self._append(LogEntry(self.durable.term, decode_command(command)))
+        self._send_heartbeats(now)
         return True
 
-    def hand_over(self, now, name):
-        """The leader's, when it drains: asks one that has all to stand at once, and acts no more itself."""
-        if self.leads(now) and (name, self.last()[0]) in self.matched():
-            self.lease_until, self.handing, self.rounds = now, True, {}
-            self.out.append(Send(name, "stand", [self.kept.term]))
-        return self._taken()
-
-    def readmit(self, now, name, life):
-        """The leader's: one that came back without what it had kept votes again, as one that never did
-        would. Two facts, to be asked for until it is done: the earlier life is dismissed, then the new one
-        admitted. In one step a majority with the earlier life and one with the new need not share a voter
-        that remembers."""
-        known = dict(self._voters()).get(name)
-        if known == life:
+    def transfer_leadership(self, now: float, name: str) -> list[Effect]:
+        """Ask a voter whose log is complete to start an election at once, and act no more in this term."""
+        if self.holds_lease(now) and (name, self.last_position().last_index) in self.matched():
+            self.lease_until = now
+            self.transferring = True
+            self.rounds = {}
+            self._send(name, messages.TIMEOUT_NOW, TimeoutNow(self.durable.term))
+        return self.take_effects()
+
+    def readmit_voter(self, now: float, name: str, incarnation: int) -> bool:
+        """Propose the next step that lets a node without its durable state vote again.
+
+        Takes two commands and is to be asked for until it is done: the earlier incarnation is removed, then
+        the new one added. If both were one step, a majority with the earlier incarnation and one with the new
+        one need not share a voter that remembers.
+
+        Returns:
+            Whether a command was proposed.
+        """
+        known = dict(self.voters()).get(name)
+        if known == incarnation:
             return False
-        return self.propose(now, ("admit", name, life) if known is None else ("dismiss", name))
+        if known is None:
+            return self.propose(now, (ADD_VOTER, name, incarnation))
+        return self.propose(now, (REMOVE_VOTER, name))
 
     # ---- messages
 
-    def hear(self, now, sender, kind, fields):
-        """Returns effects. Fields of a wrong form are ignored."""
+    def receive(self, now: float, sender: str, kind: str, fields: Iterable[Any]) -> list[Effect]:
+        """Take a message and return the effects in order; fields of a wrong form are ignored."""
         if kind in self.KINDS:
             try:
-                getattr(self, "on_" + kind)(now, sender, *fields)
+                message_type, method_name = self.KINDS[kind]
+                getattr(self, method_name)(now, sender, message_type(*fields))
             except (TypeError, ValueError):
-                self.out = [one for one in self.out if isinstance(one, Persist)]
-        return self._taken()
+                self._effects = [effect for effect in self._effects if isinstance(effect, Persist)]
+        return self.take_effects()
 
-    def on_sound(self, now, sender, term, index, last_term):
-        """Would it vote? A sounding costs no term, so that one that was cut off upsets nobody."""
-        would = (
+    def on_pre_vote(self, now: float, sender: str, message: PreVote) -> None:
+        """Answer whether this node would vote; no term rises, so that a partitioned node disturbs nobody."""
+        would_vote = (
             self.may_vote()
-            and term > self.kept.term
-            and (last_term, index) >= self.last()[::-1]
-            and (now >= self.promised_until and not self.leads(now))
+            and message.term > self.durable.term
+            and self._is_up_to_date(message.last_index, message.last_term)
+            and now >= self.votes_withheld_until
+            and not self.holds_lease(now)
         )
-        self.out.append(Send(sender, "would", [term, self.kept.term, would]))
-
-    def on_would(self, now, sender, asked, term, would):
-        if term > self.kept.term:
-            self._step(now, HIGHER, term=term)
-        elif self.role == SOUNDING and would is True and asked == self.kept.term + 1:
-            self.backers.add(sender)
-            if self._majority(self.backers):
-                self._step(now, BACKED)
-
-    def on_vote(self, now, sender, term, index, last_term, handed):
-        # While a promise to a leader lasts a vote is refused even in a higher term, unless that leader
-        # asked for it.
-        if not self.may_vote() or self.leads(now) or now < self.promised_until and handed is not True:
+        response = PreVoteResponse(message.term, self.durable.term, would_vote)
+        self._send(sender, messages.PRE_VOTE_RESPONSE, response)
+
+    def on_pre_vote_response(self, now: float, sender: str, message: PreVoteResponse) -> None:
+        """Start an election once a majority would vote for this node."""
+        if message.term > self.durable.term:
+            self._transition(now, Event.HIGHER_TERM, term=message.term)
+        elif (
+            self.role == Role.PRE_CANDIDATE
+            and message.would_vote is True
+            and message.asked_term == self.durable.term + 1
+        ):
+            self._count_vote(now, sender)
+
+    def on_request_vote(self, now: float, sender: str, message: RequestVote) -> None:
+        """Vote for a candidate whose log is up to date, once a term.
+
+        While a leader's lease may rely on this voter, the vote is withheld also in a higher term, unless that
+        leader asked for the election.
+        """
+        if not self.may_vote() or self.holds_lease(now):
             return
-        if term > self.kept.term:
-            self._step(now, HIGHER, term=term)
-        free = self.kept.vote in (None, sender)
-        if term == self.kept.term and free and (last_term, index) >= self.last()[::-1]:
-            if self.kept.vote is None:
-                self._keep(vote=sender)
-            self._wait(now)
-            self.out.append(Send(sender, "voted", [term]))
-
-    def on_voted(self, now, sender, term):
-        if self.role == CANDIDATE and term == self.kept.term:
-            self.backers.add(sender)
-            if self._majority(self.backers):
-                self._step(now, BACKED)
-
-    def on_stand(self, now, sender, term):
-        if term == self.kept.term and sender == self.leader and self.may_vote():
-            self._step(now, HANDED)
-
-    def on_append(self, now, sender, term, number, index, before_term, entries, commit):
-        """A leader's round: entries after `index`, whose own term is `before_term`."""
-        if term < self.kept.term:
-            self._answer(sender, number, False, 0)
+        if now < self.votes_withheld_until and message.transferred is not True:
             return
-        if term > self.kept.term:
-            self._step(now, HIGHER, term=term)
-        self.leader = sender
-        self._step(now, LED)
-        entries = [Entry(t, fact_of(fact)) for t, fact in entries]
-        if index < self.kept.base:  # what stands in the snapshot is committed, and so agrees
-            entries, index = entries[self.kept.base - index :], self.kept.base
-            before_term = self.kept.base_term
-        good = self.term_of(index) == before_term
-        if good:
-            self._take(index, entries)
-            self._admitted()
-            self._commit(min(commit, index + len(entries)))
-        self.promised_until = now + self.promise()
-        self._answer(sender, number, good, index + len(entries) if good else min(index, self.last()[0]))
-
-    def _answer(self, sender, number, good, index):
-        """By this life: what an earlier one that forgot has answered counts for nothing, and what this one
-        answers counts once the leader has it in its log. Its earlier life was dismissed by a committed fact
-        then, so that no majority counts both."""
-        self.out.append(Send(sender, "appended", [self.kept.term, number, good, index, self.life]))
-
-    def on_snapshot(self, now, sender, term, number, base, base_term, facts):
-        if term < self.kept.term:
+        if message.term > self.durable.term:
+            self._transition(now, Event.HIGHER_TERM, term=message.term)
+        if message.term != self.durable.term or self.durable.vote not in (None, sender):
             return
-        if term > self.kept.term:
-            self._step(now, HIGHER, term=term)
-        self.leader = sender
-        self._step(now, LED)
-        if base > self.applied:
-            facts = Facts.read(facts)
-            behind = self._behind(base) if self.term_of(base) == base_term else ()
-            self._keep(base=base, base_term=base_term, facts=facts, entries=behind)
-            self.facts, self.commit, self.applied = facts, base, base
-            self.out.append(Told(base, ("snapshot",), facts))
-            self._admitted()
-        self.promised_until = now + self.promise()
-        self._answer(sender, number, True, base)
-
-    def on_appended(self, now, sender, term, number, good, index, life):
-        if term > self.kept.term:
-            self._step(now, HIGHER, term=term)
+        if self._is_up_to_date(message.last_index, message.last_term):
+            if self.durable.vote is None:
+                self._store(self.durable._replace(vote=sender))
+            self._reset_election_timeout(now)
+            self._send(sender, messages.VOTE_RESPONSE, VoteResponse(message.term))
+
+    def on_vote_response(self, now: float, sender: str, message: VoteResponse) -> None:
+        """Become the leader once a majority has voted for this node."""
+        if self.role == Role.CANDIDATE and message.term == self.durable.term:
+            self._count_vote(now, sender)
+
+    def on_timeout_now(self, now: float, sender: str, message: TimeoutNow) -> None:
+        """Start an election at once, as this term's leader transfers its leadership."""
+        if message.term == self.durable.term and sender == self.leader and self.may_vote():
+            self._transition(now, Event.TIMEOUT_NOW)
+
+    def on_append_entries(self, now: float, sender: str, message: AppendEntries) -> None:
+        """Append a leader's entries, unless this log has no such entry before them."""
+        if message.term < self.durable.term:
+            self._acknowledge(sender, message.round_number, False, 0)
             return
-        if self.role != LEADER or term != self.kept.term:
+        self._accept_leader(now, sender, message.term)
+        entries = [LogEntry(term, decode_command(command)) for term, command in message.entries]
+        index = message.previous_index
+        previous_term = message.previous_term
+        snapshot_index = self.durable.snapshot_index
+        if index < snapshot_index:  # what the snapshot includes is committed, and so agrees
+            entries = entries[snapshot_index - index :]
+            index = snapshot_index
+            previous_term = self.durable.snapshot_term
+        matches = self.term_of(index) == previous_term
+        if matches:
+            updated = self.durable.with_entries(index, entries)
+            if updated is not self.durable:
+                self._store(updated)
+            self._recognize_readmission()
+            self._commit_up_to(min(message.commit_index, index + len(entries)))
+        self.votes_withheld_until = now + self.vote_withholding_time()
+        match_index = index + len(entries) if matches else min(index, self.last_position().last_index)
+        self._acknowledge(sender, message.round_number, matches, match_index)
+
+    def on_install_snapshot(self, now: float, sender: str, message: InstallSnapshot) -> None:
+        """Replace the state by a leader's snapshot, unless this node has applied as much."""
+        if message.term < self.durable.term:
             return
-        counts = (sender, life) in self._voters()
-        if good is True:
-            self.next[sender] = max(self.next.get(sender, 1), index + 1)
-            if counts:
-                self.match[sender, life] = max(self.match.get((sender, life), 0), index)
+        self._accept_leader(now, sender, message.term)
+        if message.snapshot_index > self.last_applied:
+            self._install(message)
+        self.votes_withheld_until = now + self.vote_withholding_time()
+        self._acknowledge(sender, message.round_number, True, message.snapshot_index)
+
+    def on_append_response(self, now: float, sender: str, message: AppendResponse) -> None:
+        """Take a follower's acknowledgement: renew the lease, commit, and send the entries that it lacks."""
+        if message.term > self.durable.term:
+            self._transition(now, Event.HIGHER_TERM, term=message.term)
+            return
+        if self.role != Role.LEADER or message.term != self.durable.term:
+            return
+        voter = (sender, message.incarnation)
+        is_voter = voter in self.voters()
+        if message.success is True:
+            self.next_index[sender] = max(self.next_index.get(sender, 1), message.match_index + 1)
+            if is_voter:
+                self.match_index[voter] = max(self.match_index.get(voter, 0), message.match_index)
         else:
-            self.next[sender] = max(1, min(self.next.get(sender, 1) - 1, index + 1))
-        if number in self.rounds and counts:
-            self.rounds[number][1].add(sender)
-            self._renew()
-        self._advance(now)
-        if self.next.get(sender, 1) <= self.last()[0]:
-            self._append_to(sender)
+            retry_at = min(self.next_index.get(sender, 1) - 1, message.match_index + 1)
+            self.next_index[sender] = max(1, retry_at)
+        if message.round_number in self.rounds and is_voter:
+            self.rounds[message.round_number].acknowledged_by.add(sender)
+            self._renew_lease()
+        self._advance_commit_index()
+        if self.next_index.get(sender, 1) <= self.last_position().last_index:
+            self._send_append_entries(sender)
+
+    def _install(self, message: InstallSnapshot) -> None:
+        index = message.snapshot_index
+        snapshot = ClusterState.decode(message.state)
+        agrees = self.term_of(index) == message.snapshot_term
+        self._store(
+            self.durable._replace(
+                snapshot_index=index,
+                snapshot_term=message.snapshot_term,
+                snapshot=snapshot,
+                entries=self.durable.entries_after(index) if agrees else (),
+            )
+        )
+        self.state = snapshot
+        self.commit_index = index
+        self.last_applied = index
+        self._effects.append(Committed(index, SNAPSHOT_INSTALLED, snapshot))
+        self._recognize_readmission()
+
+    def _is_up_to_date(self, index: int, last_term: int) -> bool:
+        """Return whether a log that ends there has all that this one has (section 5.4.1 of the paper)."""
+        last = self.last_position()
+        return (last_term, index) >= (last.last_term, last.last_index)
+
+    def _count_vote(self, now: float, sender: str) -> None:
+        self.votes_granted.add(sender)
+        self._check_majority(now)
+
+    def _check_majority(self, now: float) -> None:
+        if self._majority(self.votes_granted):
+            self._transition(now, Event.MAJORITY)
+
+    def _accept_leader(self, now: float, sender: str, term: int) -> None:
+        if term > self.durable.term:
+            self._transition(now, Event.HIGHER_TERM, term=term)
+        self.leader = sender
+        self._transition(now, Event.LEADER_MESSAGE)
 
-    KINDS = ("sound", "would", "vote", "voted", "stand", "append", "snapshot", "appended")
+    def _acknowledge(self, leader: str, round_number: int, success: bool, index: int) -> None:
+        """Answer a leader's message in the name of this incarnation.
 
-    # ---- the table's effects
+        What an incarnation that lost its state has acknowledged counts for nothing. What this one
+        acknowledges counts once the leader's log has it as a voter; the earlier incarnation was removed by a
+        committed command then, so that no majority counts both.
+        """
+        response = AppendResponse(self.durable.term, round_number, success, index, self.incarnation)
+        self._send(leader, messages.APPEND_RESPONSE, response)
 
-    def _step(self, now, given, term=None):
-        found = TABLE.get((self.role, given))
+    # ---- transitions
+
+    def _transition(self, now: float, event: Event, term: int | None = None) -> None:
+        found = TRANSITIONS.get((self.role, event))
         if found is not None:
-            self.role, effect = found
-            getattr(self, "do_" + effect)(now, term)
-
-    def do_take_term(self, now, term):
-        self._keep(term=term, vote=None)
-        self.leader, self.rounds = None, {}
-        self._wait(now)
-
-    def do_follow(self, now, term):
-        self._wait(now)
-
-    def do_sound_out(self, now, term):
-        self.backers, self.leader = {self.name}, None
-        self._wait(now)
-        index, last_term = self.last()
-        for name in self._others():
-            self.out.append(Send(name, "sound", [self.kept.term + 1, index, last_term]))
-        if self._majority(self.backers):
-            self._step(now, BACKED)
-
-    def do_stand(self, now, term):
-        handed = self.leader is not None
-        self._keep(term=self.kept.term + 1, vote=self.name)
-        self.backers, self.leader = {self.name}, None
-        self._wait(now)
-        index, last_term = self.last()
-        for name in self._others():
-            self.out.append(Send(name, "vote", [self.kept.term, index, last_term, handed]))
-        if self._majority(self.backers):
-            self._step(now, BACKED)
-
-    def do_lead(self, now, term):
-        self.leader, self.rounds, self.handing = self.name, {}, False
-        self.lease_until, self.out_at = -1.0, now + self.lease
-        self.next, self.match = {}, {}
-        self._append(Entry(self.kept.term, ("begin",)))  # commits what earlier terms left
-        self._beat(now)
-
-    def do_step_down(self, now, term):
-        self.leader, self.rounds = None, {}
-        self._wait(now)
+            self.role, method_name = found
+            getattr(self, method_name)(now, term)
+
+    def _adopt_term(self, now: float, term: int) -> None:
+        self._store(self.durable._replace(term=term, vote=None))
+        self._step_down(now, term)
+
+    def _follow(self, now: float, _term: int | None) -> None:
+        self._reset_election_timeout(now)
+
+    def _step_down(self, now: float, _term: int | None) -> None:
+        self.leader = None
+        self.rounds = {}
+        self._reset_election_timeout(now)
+
+    def _start_pre_vote(self, now: float, _term: int | None) -> None:
+        self._begin_ballot(now)
+        last = self.last_position()
+        request = PreVote(self.durable.term + 1, last.last_index, last.last_term)
+        for name in self._peers():
+            self._send(name, messages.PRE_VOTE, request)
+        self._check_majority(now)
+
+    def _start_election(self, now: float, _term: int | None) -> None:
+        transferred = self.leader is not None
+        self._store(self.durable._replace(term=self.durable.term + 1, vote=self.name))
+        self._begin_ballot(now)
+        last = self.last_position()
+        request = RequestVote(self.durable.term, last.last_index, last.last_term, transferred)
+        for name in self._peers():
+            self._send(name, messages.REQUEST_VOTE, request)
+        self._check_majority(now)
+
+    def _begin_ballot(self, now: float) -> None:
+        self.votes_granted = {self.name}
+        self.leader = None
+        self._reset_election_timeout(now)
+
+    def _become_leader(self, now: float, _term: int | None) -> None:
+        self.leader = self.name
+        self.rounds = {}
+        self.transferring = False
+        self.lease_until = NEVER
+        self.step_down_at = now + self.lease
+        self.next_index = {}
+        self.match_index = {}
+        # An entry of its own term commits what earlier terms left (section 8 of the paper).
+        self._append(LogEntry(self.durable.term, (NO_OP,)))
+        self._send_heartbeats(now)
 
     # ---- leading
 
-    def _beat(self, now):
-        """A round to all; the lease counts from its sending, so that no delay of an answer lengthens it."""
-        self.beat_at = now + BEAT * self.lease
-        self.round += 1
-        self.rounds[self.round] = [now, {self.name}]
-        self.rounds = {n: row for n, row in self.rounds.items() if now - row[0] <= self.lease}
-        for name in self._others():
-            self._append_to(name)
-        self._renew()
-        self._advance(now)
-
-    def _append_to(self, name):
-        kept, first = self.kept, self.next.setdefault(name, self.last()[0] + 1)
-        if first <= kept.base:
-            self.out.append(
-                Send(
-                    name, "snapshot", [kept.term, self.round, kept.base, kept.base_term, kept.facts.packed()]
-                )
+    def _send_heartbeats(self, now: float) -> None:
+        """Send a round to all voters.
+
+        The lease counts from the time of sending, so that no delay of an answer lengthens it.
+        """
+        self.heartbeat_at = now + HEARTBEAT_INTERVAL * self.lease
+        self.round_number += 1
+        self.rounds[self.round_number] = HeartbeatRound(now, {self.name})
+        self.rounds = {
+            number: sent for number, sent in self.rounds.items() if now - sent.sent_at <= self.lease
+        }
+        for name in self._peers():
+            self._send_append_entries(name)
+        self._renew_lease()
+        self._advance_commit_index()
+
+    def _send_append_entries(self, name: str) -> None:
+        """Send the entries that a follower lacks, or the snapshot where they are compacted away."""
+        durable = self.durable
+        first = self.next_index.setdefault(name, self.last_position().last_index + 1)
+        if first <= durable.snapshot_index:
+            snapshot = InstallSnapshot(
+                durable.term,
+                self.round_number,
+                durable.snapshot_index,
+                durable.snapshot_term,
+                durable.snapshot.encode(),
             )
+            self._send(name, messages.INSTALL_SNAPSHOT, snapshot)
             return
-        start = first - 1 - kept.base
-        entries = [[e.term, list(e.fact)] for e in kept.entries[start : start + MOST]]
-        self.out.append(
-            Send(
-                name,
-                "append",
-                [kept.term, self.round, first - 1, self.term_of(first - 1), entries, self.commit],
-            )
+        previous = first - 1
+        lacking = durable.entries_after(previous)[:ENTRIES_PER_MESSAGE]
+        entries = [[entry.term, list(entry.command)] for entry in lacking]
+        previous_term = self.term_of(previous)
+        request = AppendEntries(
+            durable.term, self.round_number, previous, previous_term, entries, self.commit_index
         )
-
-    def _renew(self):
-        for at, answered in self.rounds.values():
-            if self._majority(answered) and not self.handing:
-                self.lease_until = max(self.lease_until, at + self.lease)
-        self.out_at = max(self.out_at, self.lease_until)
-
-    def _advance(self, now):
-        """Commits what a majority has, of its own term alone."""
-        index = self.last()[0]
-        while index > self.commit and self.term_of(index) == self.kept.term:
-            if self._majority([self.name, *(n for n, at in self.matched() if at >= index)]):
-                self._commit(index)
+        self._send(name, messages.APPEND_ENTRIES, request)
+
+    def _renew_lease(self) -> None:
+        for sent_at, acknowledged_by in self.rounds.values():
+            if self._majority(acknowledged_by) and not self.transferring:
+                self.lease_until = max(self.lease_until, sent_at + self.lease)
+        self.step_down_at = max(self.step_down_at, self.lease_until)
+
+    def _advance_commit_index(self) -> None:
+        """Commit what a majority has, counting entries of this term alone (section 5.4.2 of the paper)."""
+        index = self.last_position().last_index
+        while index > self.commit_index and self.term_of(index) == self.durable.term:
+            having = [name for name, matched in self.matched() if matched >= index]
+            if self._majority([self.name, *having]):
+                self._commit_up_to(index)
                 break
             index -= 1
 
-    def matched(self):
-        """(voter, up to where its log is known to agree), of its present life alone."""
-        return [(name, self.match.get((name, life), 0)) for name, life in self._voters()]
-
-    def _began(self):
-        """Whether an entry of its own term is committed: until then a change of voters is not safe."""
-        return self.term_of(self.commit) == self.kept.term
-
     # ---- the log
 
-    def term_of(self, index):
-        kept = self.kept
-        if index == kept.base:
-            return kept.base_term
-        return kept.entries[index - kept.base - 1].term if kept.base < index <= self.last()[0] else None
-
-    def _behind(self, index):
-        return self.kept.entries[max(0, index - self.kept.base) :]
-
-    def _append(self, entry):
-        self._keep(entries=(*self.kept.entries, entry))
-
-    def _take(self, index, entries):
-        """Entries of a leader: what contradicts them goes, what agrees stays."""
-        kept = self.kept
-        for offset, entry in enumerate(entries, 1):
-            if index + offset > kept.base and self.term_of(index + offset) != entry.term:
-                at = index + offset - kept.base - 1
-                self._keep(entries=(*kept.entries[:at], *entries[offset - 1 :]))
-                return
-
-    def _commit(self, index):
-        while self.commit < min(index, self.last()[0]):
-            self.commit += 1
-            fact = self.kept.entries[self.commit - self.kept.base - 1].fact
-            self.facts, self.applied = self.facts.apply(fact), self.commit
-            self.out.append(Told(self.commit, fact, self.facts))
-            self._admitted()
-        if len(self.kept.entries) > 2 * KEPT and self.commit - self.kept.base > KEPT:
-            base = self.commit - KEPT // 2
-            facts = self.kept.facts
-            for entry in self.kept.entries[: base - self.kept.base]:
-                facts = facts.apply(entry.fact)
-            self._keep(base_term=self.term_of(base), entries=self._behind(base), base=base, facts=facts)
-
-    def _admitted(self):
-        """It votes from here on, as soon as its log has the fact, committed or not: its earlier life was
-        dismissed by a committed one before that was proposed, and the majority that is to commit it, or to
-        follow its leader, may need it. Not in this term, in which it may have voted before it forgot."""
-        if self.kept.blank and (self.name, self.life) in self._voters():
-            self._keep(vote=self.leader or "somebody", blank=False)
-
-    def _keep(self, **changes):
-        self.kept, self.dirty = self.kept._replace(**changes), True
-
-    # ---- time and effects
-
-    def promise(self):
-        return self.lease * (1 + DRIFT)
-
-    def _wait(self, now):
-        self.stand_at = now + self.promise() + APART * self.lease * self.chance.share()
-
-    def _taken(self):
-        """What is to be kept comes first: no send may go out before it is durable."""
-        out, self.out = self.out, []
-        if self.dirty:
-            self.dirty = False
-            out = [Persist(self.kept), *out]
-        return out
+    def _append(self, entry: LogEntry) -> None:
+        self._store(self.durable._replace(entries=(*self.durable.entries, entry)))
+
+    def _commit_up_to(self, index: int) -> None:
+        while self.commit_index < min(index, self.last_position().last_index):
+            self.commit_index += 1
+            command = self.durable.entries[self.commit_index - self.durable.snapshot_index - 1].command
+            self.state = self.state.apply(command)
+            self.last_applied = self.commit_index
+            self._effects.append(Committed(self.commit_index, command, self.state))
+            self._recognize_readmission()
+        compactable = self.commit_index - self.durable.snapshot_index
+        if len(self.durable.entries) > 2 * LOG_ENTRIES_RETAINED and compactable > LOG_ENTRIES_RETAINED:
+            self._store(self.durable.compacted(self.commit_index - LOG_ENTRIES_RETAINED // 2))
+
+    def _recognize_readmission(self) -> None:
+        """Vote again as soon as the log has the command that adds this incarnation, committed or not.
+
+        The earlier incarnation was removed by a committed command before that was proposed, and the majority
+        that is to commit it, or to follow its leader, may need this voter. It does not vote in this term, in
+        which it may have voted before it lost its state.
+        """
+        if self.durable.state_lost and (self.name, self.incarnation) in self.voters():
+            vote = self.leader or UNKNOWN_CANDIDATE
+            self._store(self.durable._replace(vote=vote, state_lost=False))
+
+    def _store(self, durable: DurableState) -> None:
+        self.durable = durable
+        self._durable_changed = True
+
+    # ---- time-outs and effects
+
+    def _send(self, name: str, kind: str, message: Iterable[Any]) -> None:
+        self._effects.append(Send(name, kind, list(message)))
+
+    def _reset_election_timeout(self, now: float) -> None:
+        spread = ELECTION_SPREAD * self.lease * self.random_source.share()
+        self.election_at = now + self.vote_withholding_time() + spread
+
+    def take_effects(self) -> list[Effect]:
+        """Return what is to be done, what has to be durable first: no send may go out before it is."""
+        effects = self._effects
+        self._effects = []
+        if self._durable_changed:
+            self._durable_changed = False
+            return [Persist(self.durable), *effects]
+        return effects
--- /dev/null
+++ b/valeturn/cluster/replicated_state.py
@@ -0,0 +1,168 @@
+"""The state machine that the Raft log replicates: voters, singleton task leases, maintenance requests.
+
+A command is a tuple of its kind and its arguments, as the log has it in a message or a file. Commands of an
+unknown kind change nothing, so that a server of an earlier version follows a log with newer ones.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import Any, NamedTuple
+
+# Kinds of commands as they stand in messages and on disk; their arguments are named by the methods below.
+GRANT_LEASE = "grant"
+RELEASE_LEASE = "drop"
+PUT_MAINTENANCE = "turn"
+REMOVE_MAINTENANCE = "turned"
+HOLD_MAINTENANCE = "hold"
+ADD_VOTER = "admit"
+REMOVE_VOTER = "dismiss"
+RAISE_FENCING_TOKEN = "epoch"
+NO_OP = "begin"
+VOTER_CHANGES = (ADD_VOTER, REMOVE_VOTER)
+
+# Positions in a maintenance record, and the state "granted", as maintenance/drain_schedule.py encodes them.
+RECORD_STATE = 5
+RECORD_FENCING_TOKEN = 6
+GRANTED = 1
+
+Command = tuple[Any, ...]
+MaintenanceRecord = tuple[Any, ...]
+
+
+def decode_command(encoded: Iterable[Any]) -> Command:
+    """Return a command as the log has it, from a list of a message or a file.
+
+    Raises:
+        TypeError: `encoded` is not iterable.
+    """
+    return tuple(tuple(value) if isinstance(value, list) else value for value in encoded)
+
+
+class Voter(NamedTuple):
+    """A server that votes, in one incarnation of its durable state."""
+
+    name: str
+    incarnation: int
+
+
+class TaskLease(NamedTuple):
+    """A singleton task and the voter that was granted it."""
+
+    task: str
+    holder: str
+    incarnation: int
+    fencing_token: int
+
+
+class ClusterState(NamedTuple):
+    """The state after all commands up to some index were applied; an immutable value."""
+
+    voters: tuple[Voter, ...] = ()  # sorted by name
+    task_leases: tuple[TaskLease, ...] = ()  # sorted by task
+    fencing_token: int = 0  # the largest that was granted
+    maintenance_records: tuple[MaintenanceRecord, ...] = ()  # sorted by server
+    maintenance_held: bool = False  # no further server may begin to drain
+
+    def task_lease(self, task: str) -> TaskLease | None:
+        """Return the lease of a singleton task, or None where nobody was granted it."""
+        return next((lease for lease in self.task_leases if lease[0] == task), None)
+
+    def apply(self, command: Command) -> ClusterState:
+        """Return the state after one committed command.
+
+        Raises:
+            TypeError: An argument of the command has a wrong type.
+            ValueError: The command has too few or too many arguments.
+        """
+        kind, *arguments = command
+        method_name = _METHODS.get(kind) if isinstance(kind, str) else None
+        if method_name is None:
+            return self
+        changed: ClusterState = getattr(self, method_name)(arguments)
+        return changed
+
+    def _grant_lease(self, arguments: list[Any]) -> ClusterState:
+        task, holder, incarnation = arguments
+        others = [lease for lease in self.task_leases if lease[0] != task]
+        token = self.fencing_token + 1
+        granted = TaskLease(task, holder, incarnation, token)
+        return self._replace(task_leases=tuple(sorted([*others, granted])), fencing_token=token)
+
+    def _release_lease(self, arguments: list[Any]) -> ClusterState:
+        return self._replace(task_leases=tuple(row for row in self.task_leases if row[0] != arguments[0]))
+
+    def _put_maintenance(self, arguments: list[Any]) -> ClusterState:
+        """Store a record; one that becomes granted is given the next fencing token."""
+        (encoded,) = arguments
+        record = list(encoded)
+        token = self.fencing_token
+        if record[RECORD_STATE] == GRANTED and not record[RECORD_FENCING_TOKEN]:
+            token += 1
+            record[RECORD_FENCING_TOKEN] = token
+        others = [other for other in self.maintenance_records if other[0] != record[0]]
+        records = tuple(sorted([*others, tuple(record)]))
+        return self._replace(maintenance_records=records, fencing_token=token)
+
+    def _remove_maintenance(self, arguments: list[Any]) -> ClusterState:
+        records = tuple(record for record in self.maintenance_records if record[0] != arguments[0])
+        return self._replace(maintenance_records=records)
+
+    def _hold_maintenance(self, arguments: list[Any]) -> ClusterState:
+        return self._replace(maintenance_held=bool(arguments[0]))
+
+    def _add_voter(self, arguments: list[Any]) -> ClusterState:
+        """Add a voter; an earlier incarnation has to be removed first, by a command of its own."""
+        name, incarnation = arguments
+        if name in dict(self.voters):
+            return self
+        return self._replace(voters=tuple(sorted([*self.voters, Voter(name, incarnation)])))
+
+    def _remove_voter(self, arguments: list[Any]) -> ClusterState:
+        return self._replace(voters=tuple(voter for voter in self.voters if voter[0] != arguments[0]))
+
+    def _raise_fencing_token(self, arguments: list[Any]) -> ClusterState:
+        """Continue above every token of a cluster that lost its majority and was restored by an operator."""
+        return self._replace(fencing_token=max(self.fencing_token, arguments[0]))
+
+    def encode(self) -> list[Any]:
+        """Return the state as lists, as a snapshot has it in a message and on disk."""
+        return [
+            [list(voter) for voter in self.voters],
+            [list(lease) for lease in self.task_leases],
+            self.fencing_token,
+            [list(record) for record in self.maintenance_records],
+            self.maintenance_held,
+        ]
+
+    @classmethod
+    def decode(cls, encoded: Any) -> ClusterState:  # noqa: ANN401 - whatever a message brought
+        """Return the state that `encode` gave.
+
+        Raises:
+            TypeError: A value has a wrong type.
+            ValueError: The number of values is wrong, or one can't be read as a number.
+        """
+        voters, leases, fencing_token, records, held = encoded
+        return cls(
+            tuple(Voter(str(name), int(incarnation)) for name, incarnation in voters),
+            tuple(
+                TaskLease(str(task), str(holder), int(incarnation), int(token))
+                for task, holder, incarnation, token in leases
+            ),
+            int(fencing_token),
+            tuple(tuple(record) for record in records),
+            bool(held),
+        )
+
+
+_METHODS = {
+    GRANT_LEASE: "_grant_lease",
+    RELEASE_LEASE: "_release_lease",
+    PUT_MAINTENANCE: "_put_maintenance",
+    REMOVE_MAINTENANCE: "_remove_maintenance",
+    HOLD_MAINTENANCE: "_hold_maintenance",
+    ADD_VOTER: "_add_voter",
+    REMOVE_VOTER: "_remove_voter",
+    RAISE_FENCING_TOKEN: "_raise_fencing_token",
+}
--- a/valeturn/cluster/vote_file.py
+++ b/valeturn/cluster/vote_file.py
@@ -16,7 +16,8 @@
 import google_crc32c
 import msgpack
 
-from .raft import Entry, Facts, Kept, fact_of
+from .raft_log import DurableState, LogEntry
+from .replicated_state import ClusterState, decode_command
 
 MAGIC = b"valeturn vote 1\n"
 FILE = "vote"
@@ -29,7 +30,7 @@
 
 class Found(NamedTuple):
     life: int
-    kept: Kept
+    kept: DurableState
 
 
 def encode(fleet, name, address, life, kept):
@@ -42,11 +43,11 @@
             [
                 kept.term,
                 kept.vote,
-                kept.base,
-                kept.base_term,
-                kept.facts.packed(),
-                [[entry.term, list(entry.fact)] for entry in kept.entries],
-                kept.blank,
+                kept.snapshot_index,
+                kept.snapshot_term,
+                kept.snapshot.encode(),
+                [[entry.term, list(entry.command)] for entry in kept.entries],
+                kept.state_lost,
             ],
         ]
     )
@@ -74,13 +75,13 @@
     term, vote, base, base_term, facts, entries, blank = kept
     return Found(
         life,
-        Kept(
+        DurableState(
             term,
             vote,
             base,
             base_term,
-            Facts.read(facts),
-            tuple(Entry(t, fact_of(fact)) for t, fact in entries),
+            ClusterState.decode(facts),
+            tuple(LogEntry(t, decode_command(fact)) for t, fact in entries),
             blank,
         ),
     )
--- a/valeturn/cluster/vote_persistence.py
+++ b/valeturn/cluster/vote_persistence.py
@@ -30,7 +30,7 @@
                 out.append(one)
                 continue
             # The last of several may stand for all: a message that goes out later than it might is only late.
-            all_kept = [one.kept, *(other.kept for other in self.waiting if isinstance(other, Persist))]
+            all_kept = [one.durable, *(other.durable for other in self.waiting if isinstance(other, Persist))]
             self.waiting = deque(other for other in self.waiting if not isinstance(other, Persist))
             self.write(all_kept[-1])
         return out
--- a/valeturn/lab/fault_injection/member.py
+++ b/valeturn/lab/fault_injection/member.py
@@ -54,7 +54,7 @@
     def tick(self):
         before = node.boot_clock()
         if self.leads(self.clock()):
-            self.note(f"acts {before:.6f} {self.owner.kept.term}")
+            self.note(f"acts {before:.6f} {self.owner.durable.term}")
         super().tick()
 
     def share_calls(self, *args):
--- a/valeturn/lab/fault_injection/storm.py
+++ b/valeturn/lab/fault_injection/storm.py
@@ -7,7 +7,7 @@
 import shutil
 import tempfile
 
-from ...cluster.raft import ROLES
+from ...cluster.raft import ROLE_NAMES
 from .fleet import CALL_CAP, LEASE, ROUND, Fleet
 
 DUTIES = f"""
@@ -107,7 +107,7 @@
         """One at a time: a majority that forgets at once is lost for good, which is no matter of a storm."""
         if self.wiped is not None:
             fleet = await self.fleet.status(self.wiped)
-            if fleet is None or fleet["role"] not in ROLES:
+            if fleet is None or fleet["role"] not in ROLE_NAMES:
                 return
         name = self.one()
         if self.fleet.servers[name].process.returncode is None:
--- a/valeturn/lab/fault_injection/virtual.py
+++ b/valeturn/lab/fault_injection/virtual.py
@@ -9,7 +9,7 @@
 
 from ...cluster import limits, node
 from ...cluster.options import FleetOptions
-from ...cluster.raft import DRIFT
+from ...cluster.raft import CLOCK_DRIFT
 from ...cluster.task_options import DutyOptions
 from ...transport.seeded_random import Chance
 from ..virtual import Timeline, percentile
@@ -42,7 +42,7 @@
 
     def __init__(self, net, number):
         self.net, self.number, self.name, self.up = net, number, f"n{number}", True
-        self.rate = 1 + 0.9 * DRIFT * (net.chance.share() - 0.5)
+        self.rate = 1 + 0.9 * CLOCK_DRIFT * (net.chance.share() - 0.5)
         self.cpu, self.need = 0.0, 4 * CAP / net.count * net.chance.share() ** 2
         self.options = FleetOptions(
             "lab",
--- a/valeturn/lab/model_checker.py
+++ b/valeturn/lab/model_checker.py
@@ -16,7 +16,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from ..cluster.raft import Owner, Persist, Send, Told
+from ..cluster.raft import Committed, HeartbeatRound, Persist, RaftNode, Role, Send
 
 STEP = 0.52  # of a lease: one keeps within it, two pass a promise
 
@@ -73,27 +73,30 @@
     other = object.__new__(type(owner))
     for key, value in vars(owner).items():
         if isinstance(value, dict):
-            value = {k: [v[0], set(v[1])] if isinstance(v, list) else v for k, v in value.items()}
+            value = {
+                k: HeartbeatRound(v.sent_at, set(v.acknowledged_by)) if isinstance(v, HeartbeatRound) else v
+                for k, v in value.items()
+            }
         elif isinstance(value, (set, list)):
             value = type(value)(value)
         other.__dict__[key] = value
     return other
 
 
-def begin(make=Owner, count=3):
+def begin(make=RaftNode, count=3):
     world = World.__new__(World)
     names = [chr(ord("a") + n) for n in range(count)]
     founders = tuple((name, 1) for name in names)
     world.now, world.flying, world.facts, world.leaders = 0.0, [], {}, {}
     world.seen, world.holders = 0, {}  # the highest fence at the sink; fence -> who had it
     world.owners = {name: make(name, 1, 1.0, Even(), -9.0, None, founders) for name in names}
-    world.disks = {name: owner.kept for name, owner in world.owners.items()}
+    world.disks = {name: owner.durable for name, owner in world.owners.items()}
     world.lives = dict.fromkeys(names, 1)
     world.used = dict.fromkeys(Bounds._fields[4:], 0)
     return world
 
 
-def led(make=Owner, count=3):
+def led(make=RaftNode, count=3):
     """The first leads, by the second's answers alone; nothing flies."""
     world = begin(make, count)
     a, b = sorted(world.owners)[:2]
@@ -105,7 +108,7 @@
                 break
             world, _ = act(world, ("deliver", ready[0], ""), make)
         world.flying = []
-    assert world.owners[a].leads(world.now)
+    assert world.owners[a].holds_lease(world.now)
     return world
 
 
@@ -113,15 +116,15 @@
     """Carries effects out; what it returns is a broken invariant, or None."""
     for effect in effects:
         if isinstance(effect, Persist):
-            world.disks[name] = effect.kept
+            world.disks[name] = effect.durable
         elif isinstance(effect, Send):
             world.flying.append((effect.to, name, effect.kind, freeze(effect.fields)))
-        elif isinstance(effect, Told) and effect.fact[0] != "snapshot":
-            if world.facts.setdefault(effect.index, effect.fact) != effect.fact:
+        elif isinstance(effect, Committed) and effect.command[0] != "snapshot":
+            if world.facts.setdefault(effect.log_index, effect.command) != effect.command:
                 return "committed facts stay"
-            if effect.fact[0] == "grant":
-                _, owner, life, fence = effect.facts.duty(effect.fact[1])
-                holder = owner, life, effect.index
+            if effect.command[0] == "grant":
+                _, owner, life, fence = effect.state.task_lease(effect.command[1])
+                holder = owner, life, effect.log_index
                 if world.holders.setdefault(fence, holder) != holder:
                     return "one holder of a fence"
     return None
@@ -136,11 +139,13 @@
 
 
 def judge(world):
-    acting = [(name, owner.kept.term) for name, owner in world.owners.items() if owner.leads(world.now)]
+    acting = [
+        (name, owner.durable.term) for name, owner in world.owners.items() if owner.holds_lease(world.now)
+    ]
     if len(acting) > 1:
         return "one acts at a time"
     for name, owner in world.owners.items():
-        if owner.role == 3 and world.leaders.setdefault(owner.kept.term, name) != name:
+        if owner.role == Role.LEADER and world.leaders.setdefault(owner.durable.term, name) != name:
             return "one leader a term"
     return None
 
@@ -159,23 +164,23 @@
     if used["steps"] < bounds.steps:
         out.append(("time", 0, "half a lease"))
     for name, owner in world.owners.items():
-        first = name == min(world.owners) or any(o.kept.term for o in world.owners.values())
+        first = name == min(world.owners) or any(o.durable.term for o in world.owners.values())
         room = len(world.flying) <= bounds.flying - 2
-        if first and room and owner.kept.term < bounds.term + (owner.role == 3):
+        if first and room and owner.durable.term < bounds.term + (owner.role == Role.LEADER):
             out.append(("tick", name, ""))
-        if used["restarts"] < bounds.restarts and owner.kept.term:
+        if used["restarts"] < bounds.restarts and owner.durable.term:
             out.append(("restart", name, ""))
-        if used["wipes"] < bounds.wipes and owner.kept.term:
+        if used["wipes"] < bounds.wipes and owner.durable.term:
             out.append(("wipe", name, ""))
-        if used["proposals"] < bounds.proposals and owner.leads(world.now):
+        if used["proposals"] < bounds.proposals and owner.holds_lease(world.now):
             out.append(("propose", name, ""))
         if used["effects"] < bounds.effects and fence_of(world, name) is not None:
             out.append(("effect", name, ""))
-        if used["readmissions"] < bounds.readmissions and owner.leads(world.now):
+        if used["readmissions"] < bounds.readmissions and owner.holds_lease(world.now):
             out += [
                 ("readmit", name, other)
                 for other, life in world.lives.items()
-                if life > 1 and (other, life) not in owner._voters()
+                if life > 1 and (other, life) not in owner.voters()
             ]
     return out
 
@@ -183,10 +188,10 @@
 def fence_of(world, name):
     """Under which it would have an effect now: its grant was committed in a term that it leads."""
     owner = world.owners[name]
-    row = owner.facts.duty("d")
-    if row is None or row[1:3] != (name, world.lives[name]) or not owner.leads(world.now):
+    row = owner.state.task_lease("d")
+    if row is None or row[1:3] != (name, world.lives[name]) or not owner.holds_lease(world.now):
         return None
-    return row[3] if owner.term_of(owner.commit) == owner.kept.term else None
+    return row.fencing_token if owner.term_of(owner.commit_index) == owner.durable.term else None
 
 
 class Sink:
@@ -209,7 +214,7 @@
 }
 
 
-def act(world, action, make=Owner, sink=Sink):
+def act(world, action, make=RaftNode, sink=Sink):
     """The next state, and a broken invariant or None."""
     what, which, _ = action
     world = world.clone()
@@ -225,7 +230,7 @@
                 return world, "no effect after a higher fence was seen"
             world.seen = max(world.seen, fields[0])
             return world, None
-        broken = carry(world, to, world.owners[to].hear(world.now, sender, kind, thaw(fields)))
+        broken = carry(world, to, world.owners[to].receive(world.now, sender, kind, thaw(fields)))
     elif what == "lose":
         del world.flying[which]
     elif what == "time":
@@ -236,12 +241,12 @@
         world.flying.append(("sink", which, "effect", (fence_of(world, which),)))
     elif what == "readmit":
         owner, other = world.owners[which], action[2]
-        owner.readmit(world.now, other, world.lives[other])
-        broken = carry(world, which, owner._taken())
+        owner.readmit_voter(world.now, other, world.lives[other])
+        broken = carry(world, which, owner.take_effects())
     elif what == "propose":
         owner = world.owners[which]
         owner.propose(world.now, ("grant", "d", which, world.lives[which]))
-        broken = carry(world, which, owner._taken())
+        broken = carry(world, which, owner.take_effects())
     else:
         if what == "wipe":
             world.disks[which], world.lives[which] = None, world.lives[which] + 1
@@ -259,27 +264,27 @@
     for name, o in sorted(world.owners.items()):
         rounds = tuple(
             sorted(
-                (o.round - n, ago(at), tuple(sorted(who)))
+                (o.round_number - n, ago(at), tuple(sorted(who)))
                 for n, (at, who) in o.rounds.items()
                 if world.now - at <= 1.0
             )
         )
         rows.append(
             (
-                o.kept,
-                o.commit,
+                o.durable,
+                o.commit_index,
                 o.role,
                 o.leader,
-                ago(o.promised_until),
-                ago(o.stand_at),
+                ago(o.votes_withheld_until),
+                ago(o.election_at),
                 ago(o.lease_until),
-                ago(o.out_at),
-                ago(o.beat_at),
-                o.handing,
-                tuple(sorted(o.backers)),
+                ago(o.step_down_at),
+                ago(o.heartbeat_at),
+                o.transferring,
+                tuple(sorted(o.votes_granted)),
                 rounds,
-                tuple(sorted(o.next.items())),
-                tuple(sorted(o.match.items())),
+                tuple(sorted(o.next_index.items())),
+                tuple(sorted(o.match_index.items())),
                 world.disks[name],
             )
         )
@@ -295,7 +300,7 @@
     )
 
 
-def explore(bounds, make=Owner, count=3, start=None, sink=Sink):
+def explore(bounds, make=RaftNode, count=3, start=None, sink=Sink):
     """From a world on: the first broken invariant is by a shortest story."""
     return search(
         start or begin(make, count),
@@ -338,7 +343,7 @@
     return tuple(reversed(out))
 
 
-def replay(actions_, make=Owner, count=3, start=None, sink=Sink):
+def replay(actions_, make=RaftNode, count=3, start=None, sink=Sink):
     """Plays a story again; the broken invariant at its end, or None: also where it can't go on so, as the
     message that is to arrive was never sent."""
     world, broken = start or begin(make, count), None
--- a/valeturn/lab/ownervirtual.py
+++ b/valeturn/lab/ownervirtual.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from ..cluster.raft import DRIFT, Owner, Persist, Send, Told
+from ..cluster.raft import CLOCK_DRIFT, Committed, Persist, RaftNode, Send
 from ..transport.seeded_random import Chance
 from .virtual import Timeline, percentile
 
@@ -39,14 +39,14 @@
             self.unowned_since = now
 
     def told(self, now, name, told):
-        if told.fact[0] == "snapshot":
+        if told.command[0] == "snapshot":
             return
-        if self.facts.setdefault(told.index, told.fact) != told.fact:
-            self.forked.append((now, name, told.index, told.fact, self.facts[told.index]))
-        if told.fact[0] == "grant" and told.index == max(self.facts):
-            if told.facts.fence < self.fence:
+        if self.facts.setdefault(told.log_index, told.command) != told.command:
+            self.forked.append((now, name, told.log_index, told.command, self.facts[told.log_index]))
+        if told.command[0] == "grant" and told.log_index == max(self.facts):
+            if told.state.fencing_token < self.fence:
                 self.fences_fell.append((now, told))
-            self.fence = max(self.fence, told.facts.fence)
+            self.fence = max(self.fence, told.state.fencing_token)
 
     def broken(self):
         return len(self.at_once) + len(self.forked) + len(self.two_in_a_term) + len(self.fences_fell)
@@ -78,15 +78,15 @@
         if self.stopped:
             self.held.append((sender, kind, fields))
         else:
-            self.carry(self.owner.hear(self.clock(), sender, kind, fields))
+            self.carry(self.owner.receive(self.clock(), sender, kind, fields))
 
     def carry(self, effects):
         for effect in effects:
             if isinstance(effect, Persist):
-                self.disk = effect.kept
+                self.disk = effect.durable
             elif isinstance(effect, Send):
                 self.storm.send(self.name, effect)
-            elif isinstance(effect, Told):
+            elif isinstance(effect, Committed):
                 self.storm.witness.told(self.storm.now, self.name, effect)
 
 
@@ -95,7 +95,7 @@
 
 
 class Storm(Timeline):
-    def __init__(self, count, seed, loss=0.05, doubled=0.02, late=0.02, owner=Owner):
+    def __init__(self, count, seed, loss=0.05, doubled=0.02, late=0.02, owner=RaftNode):
         super().__init__()
         self.seed, self.chance = seed, Chance(seed)
         for _ in range(8):
@@ -104,7 +104,7 @@
         self.witness, self.cuts, self.faults, self.granted = Witness(), set(), 0, 0
         self.voters = {f"n{n}": Voter(self, n) for n in range(count)}
         for voter in self.voters.values():
-            voter.rate = 1 + DRIFT * 0.9 * (self.chance.share() - 0.5)
+            voter.rate = 1 + CLOCK_DRIFT * 0.9 * (self.chance.share() - 0.5)
         founding = tuple((name, 1) for name in self.voters)
         for voter in self.voters.values():
             voter.start(founding)
@@ -112,9 +112,9 @@
 
     def look(self):
         acting = [
-            (v.name, v.owner.kept.term)
+            (v.name, v.owner.durable.term)
             for v in self.voters.values()
-            if v.up and not v.stopped and v.owner.leads(v.clock())
+            if v.up and not v.stopped and v.owner.holds_lease(v.clock())
         ]
         self.witness.look(self.now, acting)
 
@@ -133,7 +133,8 @@
 
     def leader(self):
         return next(
-            (v for v in self.voters.values() if v.up and not v.stopped and v.owner.leads(v.clock())), None
+            (v for v in self.voters.values() if v.up and not v.stopped and v.owner.holds_lease(v.clock())),
+            None,
         )
 
     # ---- faults
@@ -165,7 +166,9 @@
             leader = self.leader()
             if leader is not None:
                 others = [name for name in names if name != leader.name]
-                leader.carry(leader.owner.hand_over(leader.clock(), others[int(share() * len(others))]))
+                leader.carry(
+                    leader.owner.transfer_leadership(leader.clock(), others[int(share() * len(others))])
+                )
         elif kind == 5:
             leader = self.leader()
             if leader is not None:
@@ -199,12 +202,12 @@
 
     def readmit(self, voter):
         """The leader of the moment takes a voter's new life in, until it is."""
-        if not voter.owner.kept.blank:
+        if not voter.owner.durable.state_lost:
             self.wiped.discard(voter.name)
             return
         leader = self.leader()
         if leader is not None:
-            leader.owner.readmit(leader.clock(), voter.name, voter.life)
+            leader.owner.readmit_voter(leader.clock(), voter.name, voter.life)
             leader.carry(leader.owner.tick(leader.clock()))
         self.at(LEASE, self.readmit, voter)
 
--- a/valeturn/lab/shares.py
+++ b/valeturn/lab/shares.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from ..cluster.quota import Grant, Holder, Splitter
-from ..cluster.raft import DRIFT
+from ..cluster.raft import CLOCK_DRIFT
 from ..transport.seeded_random import Chance
 from .model_checker import search
 from .virtual import Timeline
@@ -36,7 +36,7 @@
         for _ in range(8):
             self.chance.share()
         self.make_holder, self.make_splitter = holder, splitter
-        self.rates = [1 + 0.9 * DRIFT * (self.chance.share() - 0.5) for _ in range(servers)]
+        self.rates = [1 + 0.9 * CLOCK_DRIFT * (self.chance.share() - 0.5) for _ in range(servers)]
         self.needs = [20 * self.chance.share() for _ in range(servers)]
         self.stopped, self.fence, self.lent, self.most = [0.0] * servers, 0, 0, 0.0
         self.holders = [holder(self.clock(n), CAP / self.largest, LASTS) for n in range(servers)]
--- a/valeturn/lab/turns.py
+++ b/valeturn/lab/turns.py
@@ -9,7 +9,7 @@
 
 import math
 
-from ..cluster.raft import Facts, fact_of
+from ..cluster.replicated_state import ClusterState, decode_command
 from ..maintenance import drain_schedule as od
 from ..transport.seeded_random import Chance
 from .virtual import percentile
@@ -111,15 +111,15 @@
 
 def by_order(release, limits=LIMITS, most=36000.0):
     """The owner's own decision, with committed facts a moment later."""
-    order, facts, reports = od.Order(limits, LEASE, LASTS, 0.0), Facts(), {}
+    order, facts, reports = od.Order(limits, LEASE, LASTS, 0.0), ClusterState(), {}
     for number, machine in enumerate(release.machines):
         facts = facts.apply(
-            fact_of(("turn", od.Row(machine.name, number + 1, "release", False, 3 * WORK).packed()))
+            decode_command(("turn", od.Row(machine.name, number + 1, "release", False, 3 * WORK).packed()))
         )
     while not release.all_done() and release.now < most:
         release.step()
         now = release.now
-        rows = {row[0]: od.read_row(row) for row in facts.turns}
+        rows = {row[0]: od.read_row(row) for row in facts.maintenance_records}
         for machine in release.machines:
             if not machine.there:
                 reports[machine.name] = reports[machine.name]._replace(there=False)
@@ -146,8 +146,8 @@
                 machine.work(now)
             elif verb == "back":
                 machine.doing, machine.life, machine.born = od.WAITING, machine.life + 1, now
-        for fact in order.look(now, list(rows.values()), reports, facts.held):
-            facts = facts.apply(fact_of(fact))
+        for fact in order.look(now, list(rows.values()), reports, facts.maintenance_held):
+            facts = facts.apply(decode_command(fact))
     return release.figures()
 
 
--- a/valeturn/maintenance/coordinator.py
+++ b/valeturn/maintenance/coordinator.py
@@ -43,7 +43,7 @@
 
     def rows(self):
         """As far as they are known here; read once for each state of the log."""
-        turns = self.fleet.facts()[1].turns
+        turns = self.fleet.facts()[1].maintenance_records
         if turns is not self.read_from:
             self.read_from, self.read_rows = turns, [read_row(row) for row in turns]
         return self.read_rows
@@ -103,10 +103,10 @@
 
     def look(self, now):
         owner = self.fleet.owner
-        if owner.commit < owner.last()[0]:
+        if owner.commit_index < owner.last_position().last_index:
             return  # one thing after another
-        rows, facts = self.rows(), owner.facts
-        for fact in self.order.look(now, rows, self.views(now), facts.held):
+        rows, facts = self.rows(), owner.state
+        for fact in self.order.look(now, rows, self.views(now), facts.maintenance_held):
             if not self.fleet.propose(fact):
                 return
             self.tell(fact)
@@ -213,7 +213,9 @@
         )
 
     def hold(self, held):
-        return self.until([bool(held)], "turn-hold", lambda rows: self.fleet.facts()[1].held == held)
+        return self.until(
+            [bool(held)], "turn-hold", lambda rows: self.fleet.facts()[1].maintenance_held == held
+        )
 
     def until(self, fields, kind, done, patience=5.0):
         clock = self.fleet.clock
@@ -268,7 +270,7 @@
         reasons = self.order.reasons if self.order is not None else {}
         _, facts, owner = self.fleet.facts()
         return {
-            "held": facts.held,
+            "held": facts.maintenance_held,
             "owner": owner,
             "here": pl.STATES[self.place.state],
             "refused": self.place.refused,
