--- a/valeturn/cluster/raft.py
+++ b/valeturn/cluster/raft.py
@@ -55,6 +55,9 @@
     LEADER = 3
 
 
+# Bound once: looking a member up in its class costs more than the comparison, and `holds_lease` runs often.
+_LEADER = Role.LEADER
+
 # As `status` and the log of events print them, by the number of the role.
 ROLE_NAMES = ("follower", "sounding", "candidate", "leader")
 
@@ -236,7 +239,7 @@
 
     def holds_lease(self, now: float) -> bool:
         """Return whether this leader may act, to be asked after every wait and before every effect."""
-        return self.role == Role.LEADER and now < self.lease_until
+        return self.role is _LEADER and now < self.lease_until
 
     def last_position(self) -> LogPosition:
         """Return the position of the log's last entry."""
@@ -280,7 +283,7 @@
 
     def tick(self, now: float) -> list[Effect]:
         """Do what is due and return the effects in order; to be called a dozen times a lease."""
-        if self.role == Role.LEADER:
+        if self.role is _LEADER:
             if now >= self.step_down_at:
                 self._transition(now, Event.LEASE_EXPIRED)
             elif now >= self.heartbeat_at:
@@ -437,7 +440,7 @@
         if message.term > self.durable.term:
             self._transition(now, Event.HIGHER_TERM, term=message.term)
             return
-        if self.role != Role.LEADER or message.term != self.durable.term:
+        if self.role is not _LEADER or message.term != self.durable.term:
             return
         voter = (sender, message.incarnation)
         is_voter = voter in self.voters()
--- a/valeturn/cluster/raft_log.py
+++ b/valeturn/cluster/raft_log.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from .replicated_state import VOTER_CHANGES, ClusterState, Command, Voter
+from .replicated_state import VOTER_CHANGES, ClusterState, Command, Voter, with_voter_change
 
 
 class LogEntry(NamedTuple):
@@ -54,11 +54,11 @@
 
     def latest_voters(self) -> tuple[Voter, ...]:
         """Return the voters of the latest configuration in the log, committed or not, as Raft asks for."""
-        state = self.snapshot
+        voters = self.snapshot.voters
         for entry in self.entries:
             if entry.command[0] in VOTER_CHANGES:
-                state = state.apply(entry.command)
-        return state.voters
+                voters = with_voter_change(voters, entry.command)
+        return voters
 
     def with_entries(self, index: int, entries: list[LogEntry]) -> DurableState:
         """Return the state after a leader's entries that follow `index`.
--- a/valeturn/cluster/replicated_state.py
+++ b/valeturn/cluster/replicated_state.py
@@ -46,6 +46,22 @@
     incarnation: int
 
 
+def with_voter_change(voters: tuple[Voter, ...], command: Command) -> tuple[Voter, ...]:
+    """Return the voters after a command that adds or removes one.
+
+    Adding a voter that is there changes nothing: an earlier incarnation has to be removed first.
+
+    Raises:
+        ValueError: The command that adds a voter has too few or too many arguments.
+    """
+    if command[0] == REMOVE_VOTER:
+        return tuple(voter for voter in voters if voter[0] != command[1])
+    _, name, incarnation = command
+    if name in dict(voters):
+        return voters
+    return tuple(sorted([*voters, Voter(name, incarnation)]))
+
+
 class TaskLease(NamedTuple):
     """A singleton task and the voter that was granted it."""
 
@@ -112,14 +128,10 @@
         return self._replace(maintenance_held=bool(arguments[0]))
 
     def _add_voter(self, arguments: list[Any]) -> ClusterState:
-        """Add a voter; an earlier incarnation has to be removed first, by a command of its own."""
-        name, incarnation = arguments
-        if name in dict(self.voters):
-            return self
-        return self._replace(voters=tuple(sorted([*self.voters, Voter(name, incarnation)])))
+        return self._replace(voters=with_voter_change(self.voters, (ADD_VOTER, *arguments)))
 
     def _remove_voter(self, arguments: list[Any]) -> ClusterState:
-        return self._replace(voters=tuple(voter for voter in self.voters if voter[0] != arguments[0]))
+        return self._replace(voters=with_voter_change(self.voters, (REMOVE_VOTER, *arguments)))
 
     def _raise_fencing_token(self, arguments: list[Any]) -> ClusterState:
         """Continue above every token of a cluster that lost its majority and was restored by an operator."""
