--- a/tests/digests/membership.py
+++ b/tests/digests/membership.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from valeturn.cluster.limits import MEMBERS, SYNCED
-from valeturn.cluster.membership import Membership
+from valeturn.cluster.membership import MemberIdentity, Membership
 from valeturn.transport.seeded_random import Chance
 
 PERIOD = 3.0  # s between probes: long, so that few messages go a step and members are forgotten in time
@@ -34,19 +34,19 @@
     """Record what has become of members since the last record."""
     changes = member.take_changes()
     if changes:
-        record([who, [[one.name, one.what, list(one.member)] for one in changes]])
+        record([who, [[one.name, one.effect, list(one.member)] for one in changes]])
 
 
 def figures(member: Membership) -> list[object]:
     """Return some public figures of a member's state."""
     return [
-        member.me.news(),
-        list(member.get(member.me.name)),
+        member.local.to_wire(),
+        list(member.get(member.local.name)),
         member.alive(),
-        member.doubt,
+        member.health.score,
         len(member.members),
-        member.suspicion_time(0),
-        member.suspicion_time(2),
+        member.suspicion_timeout(0),
+        member.suspicion_timeout(2),
     ]
 
 
@@ -74,7 +74,8 @@
         self.lives[name] = life
         chance = Chance(self.chance.randrange(1 << 30))
         zone = f"z{len(name) % 2}"
-        self.up[name] = Membership(name, f"{name}:1", zone, life, SEEDS, chance, self.now, PERIOD)
+        identity = MemberIdentity(name, f"{name}:1", zone, life)
+        self.up[name] = Membership(identity, SEEDS, chance, self.now, PERIOD)
 
     def carry(self, name: str, sends: list[object]) -> None:
         """Record what a member sends, and put it under way unless it is lost."""
@@ -89,7 +90,7 @@
             if self.chance.random() < 0.03:
                 delay += self.chance.uniform(0.5, 2.0) * PERIOD
             self.sent += 1
-            life = member.me.life
+            life = member.local.generation
             row = (self.now + delay, self.sent, name, life, to, kind, json.dumps(fields))
             heapq.heappush(self.under_way, row)
 
@@ -99,7 +100,7 @@
             at, _, sender, life, to, kind, text = heapq.heappop(self.under_way)
             self.now = max(self.now, at)
             if to in self.up:
-                sends = self.up[to].hear(self.now, sender, life, kind, json.loads(text), f"{sender}:1")
+                sends = self.up[to].receive(self.now, sender, life, kind, json.loads(text))
                 self.carry(to, sends)
         self.now = until
 
@@ -146,11 +147,11 @@
         self.chance = random.Random(seed)
         self.record = record
         self.now = 0.0
-        self.member = Membership("a", "a:1", "z", 5, SEEDS, Chance(seed), 0.0, PERIOD)
+        self.member = Membership(MemberIdentity("a", "a:1", "z", 5), SEEDS, Chance(seed), 0.0, PERIOD)
 
     def hear(self, sender: str, life: int, kind: str, fields: object) -> None:
         """Let it hear one message, recording what comes of it."""
-        sends = self.member.hear(self.now, sender, life, kind, fields, f"{sender}:1")
+        sends = self.member.receive(self.now, sender, life, kind, fields)
         record_sends(self.record, "a", sends)
         record_changes(self.record, "a", self.member)
 
@@ -221,11 +222,13 @@
         elif roll < 0.75:
             self.hear(sender, life, "ask", [chance.randrange(50), chance.choice("bcdef"), "x", []])
         elif roll < 0.85:
-            number = chance.randrange(max(1, self.member.number - 6), self.member.number + 2)
+            last = self.member.failure_detector.sequence
+            number = chance.randrange(max(1, last - 6), last + 2)
             kind = chance.choice(("ack", "ack", "nack"))
             self.hear(sender, life, kind, [number, []])
         elif roll < 0.9:
-            number = chance.randrange(max(1, self.member.number - 6), self.member.number + 2)
+            last = self.member.failure_detector.sequence
+            number = chance.randrange(max(1, last - 6), last + 2)
             self.hear(sender, life, "heard", [number, chance.choice("bcdef"), []])
         else:
             fields = [self.odd() for _ in range(chance.randrange(4))]
--- a/tests/maintenance/test_maintenance.py
+++ b/tests/maintenance/test_maintenance.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from valeturn.cluster.membership import ALIVE, LEFT, Member
+from valeturn.cluster.member_messages import ALIVE, LEFT
+from valeturn.cluster.member_table import Member
 from valeturn.cluster.raft import Facts, fact_of
 from valeturn.lab import turns as lab
 from valeturn.maintenance import drain_schedule as od
@@ -247,7 +248,7 @@
             facts=lambda: (None, self.facts, "o"),
             owner_now=lambda: "o",
             leads=lambda now: False,
-            membership=Stub(me=self.member("o", 1), members={}),
+            membership=Stub(local=self.member("o", 1), members={}),
         )
         self.turns = Turns(fleet, Stub(patience=9.0), None, None, None)
         self.turns.order = self.order
--- a/valeturn/cluster/node.py
+++ b/valeturn/cluster/node.py
@@ -17,7 +17,9 @@
 from .bootstrap import Founding
 from .call_quota import Calls
 from .fencing import Fences
-from .membership import ALIVE, LEFT, STATES, SUSPECTED, Membership
+from .member_messages import ALIVE, LEFT, SUSPECTED
+from .member_table import STATE_NAMES, Effect
+from .membership import MemberIdentity, Membership
 from .peer_connections import Links
 from .raft import ROLES, Facts, Owner, Send
 from .raft import Told as Committed
@@ -70,9 +72,8 @@
             chance.share()
         now = self.clock()
         self.started_at = now
-        self.membership = Membership(
-            name, options.listen, options.zone, life, options.seeds, chance, now, options.probe
-        )
+        identity = MemberIdentity(name, options.listen, options.zone, life)
+        self.membership = Membership(identity, options.seeds, chance, now, options.probe)
         self.owner = self.make_owner(kept=kept)
         self.founding = None
         if name in options.voters and self.owner.kept.blank and not self.owner.facts.voters:
@@ -97,7 +98,7 @@
         )
 
     def who(self):
-        return self.name, self.membership.me.life
+        return self.name, self.membership.local.generation
 
     def encode_vote(self, kept):
         o = self.options
@@ -179,7 +180,7 @@
             return
         now, kind, fields, sender = self.clock(), message.kind, message.fields, message.sender
         if kind in Membership.KINDS:
-            self.carry_membership(self.membership.hear(now, sender, message.life, kind, fields, at))
+            self.carry_membership(self.membership.receive(now, sender, message.life, kind, fields))
         elif self.silenced:
             return
         elif kind in Owner.KINDS:
@@ -204,17 +205,17 @@
         for _, at, kind, fields in sends:
             self.links.send(at, kind, fields)
         for change in self.membership.take_changes():
-            if change.what == "name_taken":
+            if change.effect is Effect.NAME_CONFLICT:
                 self.silence(f"another server at {change.member.address} says that it is {self.name}")
                 continue
-            self.count("fleet.members." + change.what)
+            self.count("cluster.members." + change.effect.value)
             self.log(
-                "fleet_member",
+                "member_changed",
                 {
                     "member": change.name,
-                    "what": change.what,
+                    "change": change.effect.value,
                     "zone": change.member.zone,
-                    "by": change.member.accuser or "-",
+                    "suspected_by": change.member.suspected_by or "-",
                 },
             )
 
@@ -527,7 +528,7 @@
     def status(self):
         now = self.clock()
         term, facts, owner = self.facts()
-        members = [self.membership.me, *self.membership.members.values()]
+        members = [self.membership.local, *self.membership.members.values()]
         leads = self.leads(now)
         return {
             "name": self.options.name,
@@ -537,15 +538,15 @@
             "lease_left_s": round(max(0.0, self.owner.lease_until - now), 3) if leads else None,
             "role": self.role(),
             "voters": [name for name, _ in facts.voters],
-            "doubt": self.membership.doubt,
+            "doubt": self.membership.health.score,
             "members": [
                 {
                     "name": m.name,
                     "address": m.address,
                     "zone": m.zone,
-                    "state": STATES[m.state],
+                    "state": STATE_NAMES[m.state],
                     "for_s": round(now - m.since, 1),
-                    "accused_by": m.accuser if m.state == SUSPECTED else "",
+                    "accused_by": m.suspected_by if m.state == SUSPECTED else "",
                 }
                 for m in sorted(members)
             ],
@@ -568,7 +569,7 @@
             "term": self.owner.kept.term,
             "fence": self.facts()[1].fence,
             "links": len(self.links.links),
-            "doubt": self.membership.doubt,
+            "doubt": self.membership.health.score,
             "elections": self.elections,
             "fence_refused": self.fences.refused,
             "share": -1 if self.calls is None else self.calls.usable(),
@@ -595,7 +596,7 @@
 
     def depart(self):
         """The others hear that it goes by itself, and need not suspect it."""
-        if self.membership.me.state != LEFT:
+        if self.membership.local.state != LEFT:
             self.carry_membership(self.membership.leave(self.clock()))
 
     def close(self, patience):
--- a/valeturn/cluster/options.py
+++ b/valeturn/cluster/options.py
@@ -8,7 +8,7 @@
 from ..operator_config.schema import REQUIRED, Field, Shape
 from ..operator_config.value_types import Folder, Quantity, Switch, Wants, Whole
 from . import limits
-from .membership import SUSPICION
+from .suspicion import SUSPICION_MULTIPLIER
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]*")
 
@@ -76,11 +76,11 @@
                 f"{len(options.voters) - 1} would; even = on if that is meant",
             )
         )
-    if options.lease > SUSPICION * options.probe:
+    if options.lease > SUSPICION_MULTIPLIER * options.probe:
         faults.append(
             where["lease"].fault(
                 "lease-past-suspicion",
-                f"an owner may be held lost after {SUSPICION * options.probe:g} s, while its "
+                f"an owner may be held lost after {SUSPICION_MULTIPLIER * options.probe:g} s, while its "
                 f"lease of {options.lease:g} s still holds; lengthen probe or shorten lease",
             )
         )
--- a/valeturn/lab/fleetvirtual.py
+++ b/valeturn/lab/fleetvirtual.py
@@ -11,7 +11,7 @@
 import time
 
 from ..cluster import codec
-from ..cluster import membership as ms
+from ..cluster.membership import MemberIdentity, Membership
 from ..transport.seeded_random import Chance
 from .virtual import Timeline, percentile
 
@@ -31,11 +31,8 @@
 
     def start(self, life):
         self.up, self.life = True, life
-        self.membership = ms.Membership(
-            self.name,
-            self.address,
-            self.zone,
-            life,
+        self.membership = Membership(
+            MemberIdentity(self.name, self.address, self.zone, life),
             self.net.seeds,
             Chance(7919 * self.number + life),
             self.clock(),
@@ -57,7 +54,7 @@
         if self.stopped:
             self.held.append((sender, life, kind, fields, address))
             return
-        self.act(lambda: self.membership.hear(self.clock(), sender, life, kind, fields, address))
+        self.act(lambda: self.membership.receive(self.clock(), sender, life, kind, fields))
 
     def act(self, function):
         began = time.perf_counter()
@@ -98,7 +95,7 @@
     def send(self, node, address, kind, fields):
         self.sent += 1
         if self.bytes_too:
-            data = codec.encode("lab", node.name, node.membership.me.life, kind, fields)
+            data = codec.encode("lab", node.name, node.membership.local.generation, kind, fields)
             self.size += len(data)
             (message,) = codec.Decoder("lab").feed(data)
             kind, fields = message.kind, message.fields
@@ -109,13 +106,14 @@
         for one in (node, other):
             if one.number in self.slow:
                 delay += 0.5 * self.chance.share()  # some hundred ms late, as a process that waits for a core
-        self.at(delay, self.arrive, other, node.name, node.membership.me.life, kind, fields, node.address)
+        generation = node.membership.local.generation
+        self.at(delay, self.arrive, other, node.name, generation, kind, fields, node.address)
 
     def arrive(self, other, *message):
         other.hear(*message)
 
     def changed(self, node, change):
-        self.log.append((self.now, node.name, change.what, change.name))
+        self.log.append((self.now, node.name, change.effect.value, change.name))
 
     # ---- what is done to them
 
@@ -157,7 +155,7 @@
     net.run(net.now + 60.0 * minutes)
     quiet = net.now - began
     suspected = sum(row[2] == "suspected" for row in net.log)
-    lost = sum(row[2] == "lost" for row in net.log)
+    lost = sum(row[2] == "dead" for row in net.log)
     a_second = (net.sent - sent) / quiet / count
     cpu_share = (net.cpu - cpu) / quiet / count
     first, everyone = [], []
@@ -167,7 +165,7 @@
         at = net.now
         net.kill(node)
         net.run(net.now + 45.0)
-        seen = {row[1]: row[0] - at for row in net.log if row[2] == "lost" and row[3] == node.name}
+        seen = {row[1]: row[0] - at for row in net.log if row[2] == "dead" and row[3] == node.name}
         if seen:
             first.append(min(seen.values()))
             everyone.append(max(seen.values()))
--- a/valeturn/maintenance/coordinator.py
+++ b/valeturn/maintenance/coordinator.py
@@ -4,7 +4,7 @@
 
 from typing import NamedTuple
 
-from ..cluster.membership import ALIVE, SUSPECTED
+from ..cluster.member_messages import ALIVE, SUSPECTED
 from ..cluster.task_processes import Runs
 from . import local_drain as pl
 from .drain_schedule import DRAINING, EMPTY, STATES, WAITING, Order, Row, View, read_row, seen
@@ -71,7 +71,7 @@
         doing = DOING.get(self.place.state, WAITING)
         fields = [
             self.place.asked(now),
-            self.fleet.membership.me.life,
+            self.fleet.membership.local.generation,
             self.fleet.options.zone,
             float(m.cores),
             float(m.busy),
@@ -92,11 +92,11 @@
     def views(self, now):
         """All servers that should be there."""
         fleet, out = self.fleet, {}
-        members = {fleet.name: fleet.membership.me, **fleet.membership.members}
+        members = {fleet.name: fleet.membership.local, **fleet.membership.members}
         self.reports = {name: view for name, view in self.reports.items() if now - view.heard < ROSTER}
         for name in {*members, *self.reports, *(row.server for row in self.rows())}:
             member = members.get(name)
-            zone, life, state = (member.zone, member.life, member.state) if member else ("-", 0, None)
+            zone, life, state = (member.zone, member.generation, member.state) if member else ("-", 0, None)
             alive = state in (ALIVE, SUSPECTED)
             out[name] = seen(name, self.reports.get(name), zone, life, alive, state == SUSPECTED)
         return out
