--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -511,8 +511,8 @@
     scheduler.run()
     assert ("b", "a", "ping") in heard and ("a", "b", "ping") in heard
     assert {
-        "fleet.refused.other_fleet",
-        "fleet.refused.damaged",
+        "fleet.refused.other_cluster",
+        "fleet.refused.checksum",
         "fleet.refused.no_hello",
         "fleet.refused.earlier_life",
     } <= set(counted), counted
--- a/tests/cluster/test_codec.py
+++ b/tests/cluster/test_codec.py
@@ -1,34 +1,55 @@
-"""Messages between servers as bytes: what is read, and what fails."""
+"""Messages between servers as bytes: what is decoded, and what fails."""
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from valeturn.cluster import codec
+from valeturn.cluster.codec import DecodeError, DecodeFailure
 from valeturn.cluster.limits import MESSAGE
+from valeturn.errors import ValeturnError
 
 FAST = settings(derandomize=True, deadline=None, max_examples=150)
 
 
+def reasons(results):
+    """Return why decoding failed, by a list of results that are nothing but failures."""
+    assert all(type(result) is DecodeError for result in results)
+    return [result.reason for result in results]
+
+
 @FAST
 @given(st.binary(max_size=200), st.integers(1, 7))
-def test_any_bytes_are_messages_or_one_fault_and_cuts_do_not_matter(data, step):
-    good = codec.encode("f", "n", 3, "ping", [1, [["é", 2]]])
-    decoder, out = codec.Decoder("f"), []
-    for start in range(0, len(good + data), step):
-        out += decoder.feed((good + data)[start : start + step])
-    assert out[0] == codec.Message("n", 3, "ping", [1, [["é", 2]]])
-    assert sum(isinstance(one, codec.Fault) for one in out) <= 1
-    assert not any(isinstance(one, codec.Fault) for one in out[:-1]), "nothing comes after the first"
+def test_any_bytes_are_messages_or_one_error_however_they_are_cut(data, step):
+    stream = codec.encode("f", "n", 3, "ping", [1, [["é", 2]]]) + data
+    decoder = codec.Decoder("f")
+    results = []
+    for start in range(0, len(stream), step):
+        results += decoder.feed(stream[start : start + step])
+    assert results[0] == codec.Message("n", 3, "ping", [1, [["é", 2]]])
+    assert sum(isinstance(result, DecodeError) for result in results) <= 1
+    assert not any(isinstance(result, DecodeError) for result in results[:-1]), "nothing comes after an error"
 
 
-def test_each_fault_of_a_message_is_told():
+def test_each_kind_of_undecodable_bytes_has_its_reason():
+    good = codec.encode("f", "n", 3, "ping", [1])
+    flipped = good[:-1] + bytes((good[-1] ^ 1,))
+    assert reasons(codec.Decoder("f").feed(flipped)) == [DecodeFailure.CHECKSUM]
+    assert reasons(codec.Decoder("g").feed(good)) == [DecodeFailure.OTHER_CLUSTER]
+    assert reasons(codec.Decoder("f").feed(b"\xff\xff\xff\x7f" + good)) == [DecodeFailure.TOO_LONG]
+
+
+def test_nothing_is_decoded_after_an_error():
     good = codec.encode("f", "n", 3, "ping", [1])
     flipped = good[:-1] + bytes((good[-1] ^ 1,))
-    assert codec.Decoder("f").feed(flipped) == [codec.Fault("damaged")]
-    assert codec.Decoder("g").feed(good) == [codec.Fault("other_fleet")]
-    assert codec.Decoder("f").feed(b"\xff\xff\xff\x7f" + good) == [codec.Fault("too_long")]
     decoder = codec.Decoder("f")
-    assert decoder.feed(flipped + good) == [codec.Fault("damaged")] and decoder.feed(good) == []
-    with pytest.raises(ValueError):
+    assert reasons(decoder.feed(flipped + good)) == [DecodeFailure.CHECKSUM]
+    assert decoder.feed(good) == []
+
+
+def test_message_over_the_limit_is_not_encoded():
+    with pytest.raises(codec.MessageTooLongError) as raised:
         codec.encode("f", "n", 3, "sync", ["x" * MESSAGE])
+    assert isinstance(raised.value, ValeturnError)
+    assert raised.value.kind == "sync"
+    assert raised.value.size > MESSAGE
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -374,10 +374,16 @@
     assert recorded == KINDS_OF_MESSAGES
 
 
+# Today's terms for the reasons that the earlier version gave.
+DECODE_FAILURES = {"damaged": "checksum", "unreadable": "malformed", "other_fleet": "other_cluster"}
+
+
 @pytest.mark.parametrize("case", golden("wire/faults.json"), ids=lambda case: case["why"])
 def test_message_that_was_refused_is_refused_the_same(case: dict[str, str]) -> None:
     found = codec.Decoder(FLEET).feed(bytes.fromhex(case["bytes"]))
-    assert plain(found) == [[case["why"]]]
+    (error,) = found
+    assert isinstance(error, codec.DecodeError)
+    assert error.reason.value == DECODE_FAILURES.get(case["why"], case["why"])
 
 
 def test_servers_send_the_messages_of_earlier_version() -> None:
--- a/valeturn/cluster/codec.py
+++ b/valeturn/cluster/codec.py
@@ -1,97 +1,144 @@
-"""Messages between servers as bytes: length, CRC32C, version, msgpack. Bounded, no I/O.
+"""Messages between servers as bytes: length, CRC-32C (RFC 3720), version, MessagePack. Bounded, no I/O.
 
-    message = length:4 crc:4 version:1 payload      little-endian; length counts payload, crc is over
-    version and payload
-    payload = msgpack [fleet, sender, life, kind, fields...]
+    message = length:4 checksum:4 version:1 payload    little-endian; the length is the payload's, the
+                                                       checksum is over version and payload
+    payload = MessagePack array [cluster, sender, generation, kind, fields...]
 
-What can't be read, belongs to another fleet or is too long is told as a Fault, which costs its link at the
-most.
+Bytes that are damaged, too long or of another cluster end the stream they came by: `Decoder.feed` returns a
+`DecodeError` as the last result, and nothing after it.
 """
 
 from __future__ import annotations
 
 import struct
-from typing import NamedTuple
+from enum import Enum
+from typing import Any, NamedTuple
 
 import google_crc32c
 import msgpack
 
+from ..errors import ValeturnError
 from .limits import MESSAGE
 
 VERSION = 1
-HEAD = struct.Struct("<IIB")
+HEADER = struct.Struct("<IIB")  # length, checksum, version
+LEADING_FIELDS = 4  # cluster, sender, generation, kind
 
 
-class Fault(NamedTuple):
-    """What came is no message of this fleet: why, in one word."""
+class DecodeFailure(Enum):
+    """Why bytes can't be decoded; the values are the last part of the counters' names."""
 
-    why: str
+    TOO_LONG = "too_long"
+    CHECKSUM = "checksum"
+    VERSION = "version"
+    MALFORMED = "malformed"
+    OTHER_CLUSTER = "other_cluster"
+
+
+class DecodeError(ValeturnError):
+    """Received bytes are no message of this cluster.
+
+    Attributes:
+        reason: what is wrong with them.
+    """
+
+    def __init__(self, reason: DecodeFailure) -> None:
+        super().__init__(reason.value)
+        self.reason = reason
+
+
+class MessageTooLongError(ValeturnError):
+    """A message does not fit the limit: a fault of this program.
+
+    Attributes:
+        kind: of the message.
+        size: of its payload in bytes.
+    """
+
+    def __init__(self, kind: str, size: int) -> None:
+        super().__init__(f"{kind} of {size} bytes")
+        self.kind = kind
+        self.size = size
 
 
 class Message(NamedTuple):
-    """One that can be read."""
+    """One message; the order of the fields is their order on the wire."""
 
     sender: str
-    life: int  # of the sender: its start number, which only rises
+    generation: int  # of the sender's process: larger at each start
     kind: str
-    fields: list
+    fields: list[Any]
+
 
+def encode(cluster: str, sender: str, generation: int, kind: str, fields: list[Any]) -> bytes:
+    """Return a message as bytes.
 
-def encode(fleet, sender, life, kind, fields):
-    """Bytes. Raises ValueError where they would be too long: a fault of this program."""
-    payload = msgpack.packb([fleet, sender, life, kind, *fields], use_bin_type=True)
+    Raises:
+        MessageTooLongError: if the payload is longer than MESSAGE bytes.
+    """
+    payload: bytes = msgpack.packb([cluster, sender, generation, kind, *fields], use_bin_type=True)
     if len(payload) > MESSAGE:
-        raise ValueError(f"{kind} of {len(payload)} bytes")
-    checked = bytes((VERSION,)) + payload
-    return HEAD.pack(len(payload), google_crc32c.value(checked), VERSION) + payload
+        raise MessageTooLongError(kind, len(payload))
+    return HEADER.pack(len(payload), _checksum(VERSION, payload), VERSION) + payload
 
 
-class Decoder:
-    """Cuts what is read into messages; the first Fault is the last that it gives."""
+def _checksum(version: int, payload: bytes) -> int:
+    return int(google_crc32c.value(bytes((version,)) + payload))
 
-    def __init__(self, fleet):
-        self.fleet, self.held, self.broken = fleet, bytearray(), False
 
-    def feed(self, data):
-        """A list of Message, which may end with a Fault."""
-        out = []
-        self.held += data
-        while not self.broken and len(self.held) >= HEAD.size:
-            length, crc, version = HEAD.unpack_from(self.held)
+class Decoder:
+    """Cuts the bytes of one stream into messages."""
+
+    def __init__(self, cluster: str) -> None:
+        self._cluster = cluster
+        self._buffer = bytearray()
+        self._failed = False
+
+    def feed(self, data: bytes) -> list[Message | DecodeError]:
+        """Take the next bytes and return the messages that are complete with them.
+
+        Returns:
+            The messages in their order. A `DecodeError` may stand last; after it nothing more is decoded.
+        """
+        results: list[Message | DecodeError] = []
+        self._buffer += data
+        while not self._failed and len(self._buffer) >= HEADER.size:
+            length, checksum, version = HEADER.unpack_from(self._buffer)
+            end = HEADER.size + length
             if length > MESSAGE:
-                out.append(self._fault("too_long"))
-            elif len(self.held) < HEAD.size + length:
+                results.append(self._fail(DecodeFailure.TOO_LONG))
+            elif len(self._buffer) < end:
                 break
             else:
-                payload = bytes(self.held[HEAD.size : HEAD.size + length])
-                del self.held[: HEAD.size + length]
-                out.append(self._read(payload, crc, version))
-        return out
-
-    def _fault(self, why):
-        self.broken = True
-        self.held.clear()
-        return Fault(why)
-
-    def _read(self, payload, crc, version):
-        if google_crc32c.value(bytes((version,)) + payload) != crc:
-            return self._fault("damaged")
+                payload = bytes(self._buffer[HEADER.size : end])
+                del self._buffer[:end]
+                results.append(self._decode(payload, checksum, version))
+        return results
+
+    def _fail(self, reason: DecodeFailure) -> DecodeError:
+        self._failed = True
+        self._buffer.clear()
+        return DecodeError(reason)
+
+    def _decode(self, payload: bytes, checksum: int, version: int) -> Message | DecodeError:
+        if _checksum(version, payload) != checksum:
+            return self._fail(DecodeFailure.CHECKSUM)
         if version != VERSION:
-            return self._fault("version")
+            return self._fail(DecodeFailure.VERSION)
         try:
-            said = msgpack.unpackb(payload)
+            content = msgpack.unpackb(payload)
         except (
             ValueError,
             msgpack.exceptions.ExtraData,
             msgpack.exceptions.FormatError,
             msgpack.exceptions.StackError,
         ):
-            return self._fault("unreadable")
-        if not isinstance(said, list) or len(said) < 4:
-            return self._fault("unreadable")
-        fleet, sender, life, kind, *fields = said
-        if not (isinstance(sender, str) and isinstance(life, int) and isinstance(kind, str)):
-            return self._fault("unreadable")
-        if fleet != self.fleet:
-            return self._fault("other_fleet")
-        return Message(sender, life, kind, fields)
+            return self._fail(DecodeFailure.MALFORMED)
+        if not isinstance(content, list) or len(content) < LEADING_FIELDS:
+            return self._fail(DecodeFailure.MALFORMED)
+        cluster, sender, generation, kind, *fields = content
+        if not (isinstance(sender, str) and isinstance(generation, int) and isinstance(kind, str)):
+            return self._fail(DecodeFailure.MALFORMED)
+        if cluster != self._cluster:
+            return self._fail(DecodeFailure.OTHER_CLUSTER)
+        return Message(sender, generation, kind, fields)
--- a/valeturn/cluster/node.py
+++ b/valeturn/cluster/node.py
@@ -180,7 +180,7 @@
             return
         now, kind, fields, sender = self.clock(), message.kind, message.fields, message.sender
         if kind in Membership.KINDS:
-            self.carry_membership(self.membership.receive(now, sender, message.life, kind, fields))
+            self.carry_membership(self.membership.receive(now, sender, message.generation, kind, fields))
         elif self.silenced:
             return
         elif kind in Owner.KINDS:
--- a/valeturn/cluster/peer_connections.py
+++ b/valeturn/cluster/peer_connections.py
@@ -61,7 +61,7 @@
         now, name_life = self.scheduler.clock(), self.who()
         try:
             data = codec.encode(self.fleet, *name_life, kind, fields)
-        except ValueError:
+        except (codec.MessageTooLongError, ValueError):  # ValueError: nested past the limit of msgpack
             self.count("fleet.too_long")
             return
         self.count("fleet.sent")
@@ -144,7 +144,8 @@
         try:
             while isinstance(data := link.stream.read(IDLE), bytes):
                 for one in decoder.feed(data):
-                    why = one.why if isinstance(one, codec.Fault) else self.take(link, one)
+                    bad = isinstance(one, codec.DecodeError)
+                    why = one.reason.value if bad else self.take(link, one)
                     if why is not None:
                         self.count("fleet.refused." + why)
                         return
@@ -153,7 +154,7 @@
 
     def take(self, link, message):
         """None, or why the link can't go on."""
-        name, life = message.sender, message.life
+        name, life = message.sender, message.generation
         if name == self.who()[0]:
             return "own_name"
         if life < self.lives.get(name, 0):
--- a/valeturn/lab/fault_injection/virtual.py
+++ b/valeturn/lab/fault_injection/virtual.py
@@ -91,10 +91,10 @@
 
 
 class Message:
-    __slots__ = ("fields", "kind", "life", "sender")
+    __slots__ = ("fields", "generation", "kind", "sender")
 
     def __init__(self, sender, life, kind, fields):
-        self.sender, self.life, self.kind, self.fields = sender, life, kind, fields
+        self.sender, self.generation, self.kind, self.fields = sender, life, kind, fields
 
 
 class Net(Timeline):
