--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -4,14 +4,13 @@
 import os
 import pathlib
 import signal
-import socket
 import subprocess
 import sys
 import time
 
 import pytest
 
-from valeturn.cluster import bootstrap, codec, fencing, peer_connections, process_guard, vote_file
+from valeturn.cluster import fencing, process_guard, vote_file
 from valeturn.cluster import quota as fs
 from valeturn.cluster import raft as ow
 from valeturn.cluster import singleton_tasks as du
@@ -20,7 +19,6 @@
 from valeturn.lab import shares as sh
 from valeturn.operator_config import schema
 from valeturn.server import components
-from valeturn.transport.scheduler import Scheduler
 from valeturn.transport.seeded_random import Chance
 
 ROOT = pathlib.Path(__file__).parents[2]
@@ -221,48 +219,6 @@
     assert du.Stop("d") in duties.tick(1.4, 4), "its command was under an older number"
 
 
-# ---- founding
-
-
-def test_a_fleet_is_founded_by_all_or_by_nobody_and_by_one_set():
-    founded = 0
-    for seed in range(400):
-        chance, names = Chance(seed * 977 + 3), ["a", "b", "c"]
-        for _ in range(4):
-            chance.share()
-        lives = dict.fromkeys(names, 1)
-        there = {name: bootstrap.Founding(name, 1, 0, names) for name in names}
-        sets = set()
-        for _ in range(60):
-            name = names[int(3 * chance.share())]
-            if chance.share() < 0.04 and there[name].founded is None:  # who has founded remembers it
-                lives[name] += 1
-                there[name] = bootstrap.Founding(name, lives[name], 0, names)
-            word = there[name].word()
-            other = names[int(3 * chance.share())]
-            if other != name and chance.share() < 0.7:
-                there[other].hear(name, *word)
-            sets |= {json.dumps(one.founded) for one in there.values() if one.founded is not None}
-        assert len(sets) <= 1, (seed, sets)
-        founded += all(one.founded for one in there.values())
-    assert founded > 100
-    alone = bootstrap.Founding("a", 1, 0, ["a"])
-    assert alone.alone() == [["a", 1, 0]]
-
-
-def test_words_that_can_t_be_read_found_nothing():
-    one = bootstrap.Founding("a", 1, 0, ["a", "b"])
-    for row, would in (
-        (None, None),
-        (["b", "x", 0], None),
-        (["c", 1, 0], None),
-        (["b", 1, 0], [["b"]]),
-        (["b", 1, 0], [["b", 1, 0], ["a", 1, 0]]),
-    ):
-        assert one.hear("b", row, would, True) is None
-    assert one.hear("z", ["z", 1, 0], None, False) is None and "z" not in one.heard
-
-
 # ---- the explorer: fences
 
 
@@ -466,58 +422,7 @@
     assert not mark.exists()
 
 
-# ---- links
-
-
-def test_links_refuse_strangers_earlier_lives_and_damage_and_keep_one_a_pair():
-    scheduler, heard, counted = Scheduler(), [], {}
-
-    def count(name, amount=1):
-        counted[name] = counted.get(name, 0) + amount
-
-    def make(name, port):
-        def hear(message, at):
-            heard.append((name, message.sender, message.kind))
-
-        return peer_connections.Links(
-            scheduler, "lab", f"127.77.0.1:{port}", lambda: (name, 1), hear, Chance(port), count
-        )
-
-    a, b = make("a", 4301), make("b", 4302)
-
-    def play():
-        a.send("127.77.0.1:4302", "ping", [])
-        b.send("127.77.0.1:4301", "ping", [])
-        scheduler.sleep(0.2)
-        for _ in range(300):  # more than may wait at once, in one turn: the oldest go
-            a.send("127.77.0.1:4302", "news", ["x" * 9000])
-        scheduler.sleep(0.3)
-        for data in (
-            codec.encode("other", "c", 1, "hello", ["127.77.0.1:9"]),
-            b"\0" * 64,
-            codec.encode("lab", "c", 1, "ping", []),
-            codec.encode("lab", "c", 5, "hello", ["127.77.0.1:9"]) + codec.encode("lab", "c", 4, "ping", []),
-        ):
-            sock = socket.create_connection(("127.77.0.1", 4302))
-            sock.sendall(data)
-            scheduler.sleep(0.05)
-            sock.close()
-        scheduler.sleep(0.1)
-        a.close_now()
-        b.close_now()
-        scheduler.stop()
-
-    scheduler.spawn(play)
-    scheduler.run()
-    assert ("b", "a", "ping") in heard and ("a", "b", "ping") in heard
-    assert {
-        "fleet.refused.other_cluster",
-        "fleet.refused.checksum",
-        "fleet.refused.no_hello",
-        "fleet.refused.earlier_life",
-    } <= set(counted), counted
-    news = sum(kind == "news" for _, _, kind in heard)
-    assert news + counted.get("fleet.dropped", 0) == 300 and news >= 128
+# ---- loading
 
 
 def test_nothing_of_a_fleet_is_loaded_without_its_section(tmp_path):
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -171,11 +171,12 @@
     """Stands for the links of one server."""
 
     def __init__(self, network: Network, *words: Any) -> None:
-        _, fleet, self.listen, self.who, self.hear, *_ = words
+        _, local, *_ = words
+        fleet, self.listen, self.who, self.hear = local
         self.network = network
         self.fleet = fleet
         self.decoder = codec.Decoder(fleet)
-        self.links = ()
+        self.open_connections = ()
         network.ends[self.listen] = self
 
     def send(self, at: str, kind: str, fields: list[Any]) -> None:
@@ -296,9 +297,8 @@
     def dial(*words: Any) -> Stream:
         return Stream(scheduler, here)
 
-    end = peer_connections.Links(
-        scheduler, FLEET, "127.77.0.9:4391", lambda: ("n1", 17), ignore, Chance(1), ignore, dial
-    )
+    local = peer_connections.LocalEndpoint(FLEET, "127.77.0.9:4391", lambda: ("n1", 17), ignore)
+    end = peer_connections.PeerConnections(scheduler, local, Chance(1), ignore, dial)
     end.send("127.77.0.9:4392", "ping", [1, []])
     scheduler.call_later(0.2, scheduler.stop)
     scheduler.run()
--- a/valeturn/cluster/codec.py
+++ b/valeturn/cluster/codec.py
@@ -86,6 +86,35 @@
     return int(google_crc32c.value(bytes((version,)) + payload))
 
 
+def _decode(expected_cluster: str, payload: bytes, checksum: int, version: int) -> Message:
+    """Return the message of one frame.
+
+    Raises:
+        DecodeError: if it is damaged, of another version or cluster, or malformed.
+    """
+    if _checksum(version, payload) != checksum:
+        raise DecodeError(DecodeFailure.CHECKSUM)
+    if version != VERSION:
+        raise DecodeError(DecodeFailure.VERSION)
+    try:
+        content = msgpack.unpackb(payload)
+    except (
+        ValueError,
+        msgpack.exceptions.ExtraData,
+        msgpack.exceptions.FormatError,
+        msgpack.exceptions.StackError,
+    ):
+        raise DecodeError(DecodeFailure.MALFORMED) from None
+    if not isinstance(content, list) or len(content) < LEADING_FIELDS:
+        raise DecodeError(DecodeFailure.MALFORMED)
+    cluster, sender, generation, kind, *fields = content
+    if not (isinstance(sender, str) and isinstance(generation, int) and isinstance(kind, str)):
+        raise DecodeError(DecodeFailure.MALFORMED)
+    if cluster != expected_cluster:
+        raise DecodeError(DecodeFailure.OTHER_CLUSTER)
+    return Message(sender, generation, kind, fields)
+
+
 class Decoder:
     """Cuts the bytes of one stream into messages."""
 
@@ -106,39 +135,19 @@
             length, checksum, version = HEADER.unpack_from(self._buffer)
             end = HEADER.size + length
             if length > MESSAGE:
-                results.append(self._fail(DecodeFailure.TOO_LONG))
+                results.append(self._fail(DecodeError(DecodeFailure.TOO_LONG)))
             elif len(self._buffer) < end:
                 break
             else:
                 payload = bytes(self._buffer[HEADER.size : end])
                 del self._buffer[:end]
-                results.append(self._decode(payload, checksum, version))
+                try:
+                    results.append(_decode(self._cluster, payload, checksum, version))
+                except DecodeError as error:
+                    results.append(self._fail(error))
         return results
 
-    def _fail(self, reason: DecodeFailure) -> DecodeError:
+    def _fail(self, error: DecodeError) -> DecodeError:
         self._failed = True
         self._buffer.clear()
-        return DecodeError(reason)
-
-    def _decode(self, payload: bytes, checksum: int, version: int) -> Message | DecodeError:
-        if _checksum(version, payload) != checksum:
-            return self._fail(DecodeFailure.CHECKSUM)
-        if version != VERSION:
-            return self._fail(DecodeFailure.VERSION)
-        try:
-            content = msgpack.unpackb(payload)
-        except (
-            ValueError,
-            msgpack.exceptions.ExtraData,
-            msgpack.exceptions.FormatError,
-            msgpack.exceptions.StackError,
-        ):
-            return self._fail(DecodeFailure.MALFORMED)
-        if not isinstance(content, list) or len(content) < LEADING_FIELDS:
-            return self._fail(DecodeFailure.MALFORMED)
-        cluster, sender, generation, kind, *fields = content
-        if not (isinstance(sender, str) and isinstance(generation, int) and isinstance(kind, str)):
-            return self._fail(DecodeFailure.MALFORMED)
-        if cluster != self._cluster:
-            return self._fail(DecodeFailure.OTHER_CLUSTER)
-        return Message(sender, generation, kind, fields)
+        return error
--- a/valeturn/cluster/node.py
+++ b/valeturn/cluster/node.py
@@ -20,7 +20,7 @@
 from .member_messages import ALIVE, LEFT, SUSPECTED
 from .member_table import STATE_NAMES, Effect
 from .membership import MemberIdentity, Membership
-from .peer_connections import Links
+from .peer_connections import LocalEndpoint, PeerConnections
 from .raft import ROLES, Facts, Owner, Send
 from .raft import Told as Committed
 from .vote_persistence import Keeping
@@ -45,7 +45,7 @@
     dial: object = connect
     folder: object = vote_file.Folder
     wall: object = time.time  # for the number of a life alone
-    links: object = Links
+    peer_connections: object = PeerConnections
 
 
 class Fleet:
@@ -93,9 +93,8 @@
         self.elections, self.closed, self.leaving = 0, False, False
         self.handing = None  # to whom it hands over, "" to any, while its commands end
         self.founded_set, self.asked_in = None, set()  # as told to the others; names that an operator admits
-        self.links = seams.links(
-            scheduler, options.name, options.listen, self.who, self.hear, chance, count, seams.dial
-        )
+        local = LocalEndpoint(options.name, options.listen, self.who, self.hear)
+        self.peer_connections = seams.peer_connections(scheduler, local, chance, count, seams.dial)
 
     def who(self):
         return self.name, self.membership.local.generation
@@ -121,7 +120,7 @@
     def tick(self):
         now = self.clock()
         self.carry_membership(self.membership.tick(now))
-        self.links.tick()
+        self.peer_connections.tick()
         if self.silenced:
             return
         if self.vote.failed_at is not None:
@@ -189,21 +188,21 @@
         else:
             taker = next((one for one in (self, *self.others) if kind in one.KINDS), None)
             if taker is None:
-                self.count("fleet.refused.kind")
+                self.count("cluster.messages_rejected.kind")
                 return
             try:
                 taker.KINDS[kind](taker, now, sender, *fields)
             except (TypeError, ValueError, IndexError):
-                self.count("fleet.refused.fields")
+                self.count("cluster.messages_rejected.fields")
 
     def send(self, name, kind, fields):
         member = self.membership.get(name)
         if member is not None and name != self.name:
-            self.links.send(member.address, kind, fields)
+            self.peer_connections.send(member.address, kind, fields)
 
     def carry_membership(self, sends):
         for _, at, kind, fields in sends:
-            self.links.send(at, kind, fields)
+            self.peer_connections.send(at, kind, fields)
         for change in self.membership.take_changes():
             if change.effect is Effect.NAME_CONFLICT:
                 self.silence(f"another server at {change.member.address} says that it is {self.name}")
@@ -554,7 +553,7 @@
             "owners": [{"duty": duty, "owner": one, "fence": fence} for duty, one, _, fence in facts.duties],
             "share": None if self.calls is None else self.calls.figures(now),
             "split": self.calls.split_figures(now) if self.calls is not None and leads else None,
-            "links": len(self.links.links),
+            "links": len(self.peer_connections.open_connections),
             "elections": self.elections,
         }
 
@@ -568,7 +567,7 @@
             "leads": int(self.leads(now)),
             "term": self.owner.kept.term,
             "fence": self.facts()[1].fence,
-            "links": len(self.links.links),
+            "links": len(self.peer_connections.open_connections),
             "doubt": self.membership.health.score,
             "elections": self.elections,
             "fence_refused": self.fences.refused,
@@ -605,7 +604,7 @@
         self.depart()
         self.closed = True
         self.runs.close_all()
-        self.links.close_now()
+        self.peer_connections.close_now()
         if self.helper is not None:
             self.helper.finish(max(0.01, patience))
             self.vote_folder.release()
--- a/valeturn/lab/fault_injection/virtual.py
+++ b/valeturn/lab/fault_injection/virtual.py
@@ -21,11 +21,12 @@
 
 
 class VirtualLinks:
-    """What `links.Links` is to a fleet, over the laboratory's net."""
+    """What `PeerConnections` is to a fleet, over the laboratory's net."""
 
-    def __init__(self, net, scheduler, fleet, listen, who, hear, chance, count, dial):
-        self.net, self.listen, self.who, self.hear, self.links = net, listen, who, hear, ()
-        net.by_address[listen] = self
+    def __init__(self, net, scheduler, local, chance, count, dial):
+        self.net, self.open_connections = net, ()
+        _, self.listen, self.who, self.hear = local
+        net.by_address[self.listen] = self
 
     def send(self, at, kind, fields):
         self.net.send(self, at, kind, fields)
@@ -69,7 +70,7 @@
             node.Seams(
                 self.clock,
                 wall=lambda: 1e6 + self.net.now,
-                links=lambda *words: VirtualLinks(self.net, *words),
+                peer_connections=lambda *words: VirtualLinks(self.net, *words),
             ),
         )
         self.fleet.duties.put(self.clock(), {"calls": self.net.duty})
@@ -123,7 +124,7 @@
 
     def arrive(self, links, message, at):
         member = self.by_name[links.who()[0]]
-        if member.up and member.fleet.links is links:
+        if member.up and member.fleet.peer_connections is links:
             member.timed(member.fleet.hear, message, at)
 
     def owner(self):
