--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -1,4 +1,4 @@
-"""What a fleet's server decides beside membership and owner: shares, duties, founding, fences, links."""
+"""What a cluster's server decides beside membership, bootstrap and connections: shares, duties, fences."""
 
 import json
 import os
--- a/tests/digests/bootstrap.py
+++ b/tests/digests/bootstrap.py
@@ -5,7 +5,7 @@
 import random
 from collections.abc import Callable
 
-from valeturn.cluster.bootstrap import Founding, readable
+from valeturn.cluster.bootstrap import Bootstrap, read_voter_set, voter_set_to_wire
 
 STEPS = 4000
 SIZES = (3, 4, 5, 3, 4, 5, 1)
@@ -39,13 +39,13 @@
     def begin(self, name: str) -> None:
         """Begin a life of one server that remembers nothing."""
         floor = self.chance.choice([0, 0, 7, 40])
-        self.servers[name] = Founding(name, self.lives[name], floor, self.names)
-        self.record(self.servers[name].alone())
+        self.servers[name] = Bootstrap(name, self.lives[name], floor, self.names)
+        self.record(voter_set_to_wire(self.servers[name].complete_if_alone()))
 
     def tell(self, step: int) -> None:
         """Let one server tell its word to the others."""
         name = self.chance.choice(self.names)
-        word = self.servers[name].word()
+        word = self.servers[name].announcement()
         self.record(word)
         for other in self.names:
             if other != name and self.chance.random() < 0.8:
@@ -65,7 +65,7 @@
                 would = self.chance.choice(UNREADABLE)
             elif kind < 0.04:
                 done = not done
-            self.record(self.servers[name].hear(sender, row, would, done))
+            self.record(voter_set_to_wire(self.servers[name].receive(sender, row, would, done)))
 
     def restart(self) -> None:
         """Let one server begin another life without what it knew."""
@@ -75,14 +75,14 @@
 
     def founded(self) -> bool:
         """Return whether all have founded."""
-        return all(server.founded is not None for server in self.servers.values())
+        return all(server.completed is not None for server in self.servers.values())
 
 
 def play(seed: int, record: Callable[[object], None]) -> None:
     """Found fleet after fleet for some thousand steps and record all words and sets."""
     chance = random.Random(seed)
     for said in UNREADABLE:
-        record(readable(said))
+        record(read_voter_set(said) is not None)
     fleet = Fleet(chance, record)
     stays = 0
     for step in range(STEPS):
@@ -91,7 +91,7 @@
         if chance.random() < 0.03:
             fleet.restart()
         if step % 10 == 0:
-            record([server.mine() for server in fleet.servers.values()])
+            record([voter_set_to_wire(server.proposal()) for server in fleet.servers.values()])
         if fleet.founded():
             stays += 1
         if stays > 15:
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -128,7 +128,7 @@
             fleet, turns_options, lambda: measured, lambda: self.drained.append(name), ignore
         )
         self.fleets[name] = fleet
-        if fleet.founding is not None and fleet.founding.alone():
+        if fleet.bootstrap is not None and fleet.bootstrap.complete_if_alone():
             fleet.found()
 
     def stop(self, name: str) -> None:
--- a/valeturn/cluster/bootstrap.py
+++ b/valeturn/cluster/bootstrap.py
@@ -1,77 +1,135 @@
-"""How a fleet begins, once: all that are named to vote agree on who they are. No I/O.
+"""How a cluster begins, once: all servers that are named as voters agree on who they are. No I/O.
 
-A voter that remembers nothing may be a new one or one that lost its disk; it can't tell. So a fleet is
-founded only by *all* of those that the operator's files name, each in a life that has never voted: then
-nobody has given a vote that could be given twice. Each tells what it has heard of the others; one that has
-heard of all says which set it would found with; one that hears the same set of all founds it, for good, and
-goes on telling so. Who finds its present life in a founded set founds it too: it has given no vote yet, under
-that set or any.
+A voter without durable state may be new, or may have lost its disk; it can't tell which. A cluster is
+therefore bootstrapped only by *all* voters that the operator's files name, each in an incarnation that has
+never voted: then no vote was given that could be given twice. Each server announces its own record; once it
+has the records of all it proposes the set of them; once all others propose the same set, that set is the
+cluster's, for good, and is announced as such. A server that finds its present incarnation in a completed set
+takes that set: it has given no vote yet, under that set or any.
 
-A life that ends between its word and the founding is in no further set; where so many of a founded set end at
-once that no majority is left, nothing is made up: that is the majority that was lost for good.
+An incarnation that ends between its proposal and the completion is in no later set. Where so many of a
+completed set end at once that no majority is left, nothing is made up: the majority is lost for good.
 """
 
 from __future__ import annotations
 
+from collections.abc import Sequence
+from typing import Any, NamedTuple
 
-def readable(said):
-    """Whether it is a set: sorted [name, life, floor] rows."""
-    return (
-        isinstance(said, list)
-        and all(
-            isinstance(row, list)
-            and len(row) == 3
-            and isinstance(row[0], str)
-            and all(isinstance(n, int) and not isinstance(n, bool) and 0 <= n < 2**63 for n in row[1:])
-            for row in said
-        )
-        and said == sorted(said)
-    )
-
-
-class Founding:
-    """One of the named, while it remembers nothing."""
-
-    def __init__(self, name, life, floor, names):
-        """floor: the least fence that may be handed out, as this one knows; 0 where its disk would
-        remember."""
-        self.me, self.names = [name, life, floor], sorted(names)
-        self.heard = {name: self.me}  # name -> its row, of its newest life
-        self.sets = {}  # name -> the set that it would found with
-        self.founded = None
-
-    def mine(self):
-        """The set that this one would found with, or None while somebody is missing."""
-        if self.founded is not None:
-            return self.founded
-        rows = [self.heard.get(name) for name in self.names]
-        return None if None in rows else rows
-
-    def word(self):
-        """What it tells the others: its row, its set, and whether that is founded."""
-        return [self.me, self.mine(), self.founded is not None]
-
-    def hear(self, sender, row, would, done):
-        """Another's word. The set, once founded; what can't be read is ignored."""
-        if self.founded is not None or sender not in self.names or not readable([row]) or row[0] != sender:
-            return self.founded
-        if would is not None and not readable(would):
+NUMBER_LIMIT = 2**63  # incarnations and fencing tokens stay below it: they are 64 bits wide on disk
+
+
+class VoterRecord(NamedTuple):
+    """One voter's record; the order of the fields is their order on the wire."""
+
+    name: str
+    incarnation: int  # of its durable state: larger each time it begins without one
+    fencing_floor: int  # the least fencing token that may be granted, as far as the voter knows
+
+
+VoterSet = tuple[VoterRecord, ...]  # sorted
+
+
+def read_voter_set(value: object) -> VoterSet | None:
+    """Return the voter set that a received value stands for, or None if it is malformed."""
+    if not isinstance(value, list):
+        return None
+    records = []
+    for row in value:
+        record = _read_record(row)
+        if record is None:
             return None
-        known = self.heard.get(sender)
-        if known is not None and row[1] < known[1]:
-            return None  # of an earlier life
-        self.heard[sender] = row
-        self.sets[sender] = would
-        if done is True and self.me in (would or ()):
-            self.founded = would
-        elif self.mine() is not None and all(
-            self.sets.get(name) == self.mine() for name in self.names if name != self.me[0]
-        ):
-            self.founded = self.mine()
-        return self.founded
-
-    def alone(self):
-        """The set of a fleet of one."""
-        if self.names == [self.me[0]]:
-            self.founded = [self.me]
-        return self.founded
+        records.append(record)
+    return tuple(records) if records == sorted(records) else None
+
+
+def _read_record(row: object) -> VoterRecord | None:
+    if not isinstance(row, list) or len(row) != len(VoterRecord._fields):
+        return None
+    name, incarnation, fencing_floor = row
+    if not isinstance(name, str) or not _is_number(incarnation) or not _is_number(fencing_floor):
+        return None
+    return VoterRecord(name, incarnation, fencing_floor)
+
+
+def _is_number(value: object) -> bool:
+    return isinstance(value, int) and not isinstance(value, bool) and 0 <= value < NUMBER_LIMIT
+
+
+def voter_set_to_wire(voters: VoterSet | None) -> list[list[Any]] | None:
+    """Return a voter set as it is packed into a message."""
+    return None if voters is None else [list(record) for record in voters]
+
+
+class Bootstrap:
+    """One named voter's part in the bootstrap, while it has no durable state."""
+
+    def __init__(self, name: str, incarnation: int, fencing_floor: int, voter_names: Sequence[str]) -> None:
+        """Begin with this voter's own record alone.
+
+        Args:
+            name: of this voter.
+            incarnation: one that has never voted.
+            fencing_floor: the least fencing token that may be granted; 0 where its disk would remember.
+            voter_names: all voters that the operator's file names, this one among them.
+        """
+        self.completed: VoterSet | None = None
+        self._local = VoterRecord(name, incarnation, fencing_floor)
+        self._voter_names = sorted(voter_names)
+        self._records = {name: self._local}  # the newest incarnation of each, by name
+        self._proposals: dict[str, VoterSet | None] = {}  # of the others, by name
+
+    def proposal(self) -> VoterSet | None:
+        """Return the set that this voter proposes, or None while a record is missing."""
+        if self.completed is not None:
+            return self.completed
+        records = [self._records.get(name) for name in self._voter_names]
+        known = tuple(record for record in records if record is not None)
+        return known if len(known) == len(records) else None
+
+    def announcement(self) -> list[Any]:
+        """Return the fields of the message for the others: own record, proposal, whether it is complete."""
+        return [list(self._local), voter_set_to_wire(self.proposal()), self.completed is not None]
+
+    def receive(self, sender: str, record: object, proposal: object, completed: object) -> VoterSet | None:
+        """Take another voter's announcement; one that is malformed or of an earlier incarnation is ignored.
+
+        Args:
+            sender: the voter's name.
+            record: its own record.
+            proposal: the set that it proposes, or None.
+            completed: whether that set is the cluster's already.
+
+        Returns:
+            The cluster's voter set, or None while it is not complete.
+        """
+        if self.completed is not None or sender not in self._voter_names:
+            return self.completed
+        sender_record = _read_record(record)
+        if sender_record is None or sender_record.name != sender:
+            return None
+        voters = read_voter_set(proposal)
+        if voters is None and proposal is not None:
+            return None
+        known = self._records.get(sender)
+        if known is not None and sender_record.incarnation < known.incarnation:
+            return None
+        self._records[sender] = sender_record
+        self._proposals[sender] = voters
+        if completed is True and voters is not None and self._local in voters:
+            self.completed = voters
+        elif self._all_propose_the_same():
+            self.completed = self.proposal()
+        return self.completed
+
+    def _all_propose_the_same(self) -> bool:
+        proposal = self.proposal()
+        return proposal is not None and all(
+            self._proposals.get(name) == proposal for name in self._voter_names if name != self._local.name
+        )
+
+    def complete_if_alone(self) -> VoterSet | None:
+        """Complete the bootstrap at once if this is the only voter, and return the cluster's set, if any."""
+        if self._voter_names == [self._local.name]:
+            self.completed = (self._local,)
+        return self.completed
--- a/valeturn/cluster/node.py
+++ b/valeturn/cluster/node.py
@@ -14,7 +14,7 @@
 from ..transport.streams import Stream, connect
 from ..transport.worker_thread import Helper
 from . import limits, singleton_tasks, task_processes, vote_file
-from .bootstrap import Founding
+from .bootstrap import Bootstrap, voter_set_to_wire
 from .call_quota import Calls
 from .fencing import Fences
 from .member_messages import ALIVE, LEFT, SUSPECTED
@@ -75,10 +75,10 @@
         identity = MemberIdentity(name, options.listen, options.zone, life)
         self.membership = Membership(identity, options.seeds, chance, now, options.probe)
         self.owner = self.make_owner(kept=kept)
-        self.founding = None
+        self.bootstrap = None
         if name in options.voters and self.owner.kept.blank and not self.owner.facts.voters:
             floor = 0 if options.folder is not None else int(seams.wall()) << limits.EPOCH
-            self.founding = Founding(name, self.vote_life, floor, options.voters)
+            self.bootstrap = Bootstrap(name, self.vote_life, floor, options.voters)
         self.vote = Keeping(self.vote_folder, self.helper, self.encode_vote)
         self.duties = singleton_tasks.Duties(name, self.vote_life, now)
         self.fences = Fences()
@@ -107,7 +107,7 @@
         if self.helper is not None:
             self.scheduler.spawn(self.hear_the_disk, name="vote")
         self.scheduler.spawn(self.run, name="fleet")
-        if self.founding is not None and self.founding.alone():
+        if self.bootstrap is not None and self.bootstrap.complete_if_alone():
             self.found()
 
     # ---- time
@@ -302,29 +302,30 @@
                     self.told_facts[name] = mark, now
                     self.send(name, "facts", fields)
         if not self.owner.kept.blank:  # it was admitted by others that had founded without it
-            self.founding = None
-        if self.founding is not None or self.owner.kept.blank:
+            self.bootstrap = None
+        if self.bootstrap is not None or self.owner.kept.blank:
             word = (
-                self.founding.word()
-                if self.founding is not None
+                self.bootstrap.announcement()
+                if self.bootstrap is not None
                 else [[self.name, self.vote_life, 0], None, False]
             )
             owner = self.facts()[2]
-            to = self.options.voters if self.founding is not None or owner is None else [owner]
+            to = self.options.voters if self.bootstrap is not None or owner is None else [owner]
             if owner is None:  # the founders may long be others than those that vote
                 alive = self.membership.alive()
                 to = {*to, *(alive[int(self.chance.share() * len(alive))] for _ in range(ASKED))}
             for name in to:
                 self.send(name, "blank", word)
         elif self.founded_set is not None and now - self.started_at < 600.0:
+            packed = voter_set_to_wire(self.founded_set)
             for name in self.options.voters:  # one that has not heard all the words founds by this
                 if name != self.name and self.membership.get(name) is not None:
-                    self.send(name, "blank", [[self.name, self.vote_life, 0], self.founded_set, True])
+                    self.send(name, "blank", [[self.name, self.vote_life, 0], packed, True])
 
     def on_blank(self, now, sender, row, would, done):
         """One that remembers nothing, or that has just founded."""
-        if self.founding is not None:
-            if self.founding.hear(sender, row, would, done) is not None:
+        if self.bootstrap is not None:
+            if self.bootstrap.receive(sender, row, would, done) is not None:
                 self.found()
             return
         if done is not True and isinstance(row, list) and len(row) == 3 and isinstance(row[1], int):
@@ -333,11 +334,11 @@
                 self.wanted.clear()
 
     def found(self):
-        self.founded_set = self.founding.founded
-        self.founding = None
+        self.founded_set = self.bootstrap.completed
+        self.bootstrap = None
         voters = tuple((name, life) for name, life, _ in self.founded_set)
         self.owner = self.make_owner(voters=voters, fence=max(floor for _, _, floor in self.founded_set))
-        self.log("fleet_founded", {"voters": ",".join(name for name, _ in voters)})
+        self.log("cluster_bootstrapped", {"voters": ",".join(name for name, _ in voters)})
 
     def admit(self, now):
         """The owner takes voters back that lost their memory, and in those that an operator named."""
@@ -508,7 +509,7 @@
         _, facts, _ = self.facts()
         floor = (self.epoch(max([facts.fence, *self.fences.seen.values()])) + 1) << limits.EPOCH
         self.vote_anew()
-        self.founding = None
+        self.bootstrap = None
         voters = ((self.name, self.vote_life),)
         self.owner = self.make_owner(voters=voters, fence=floor, term=self.owner.kept.term + 1)
         self.log("fleet_revived", {"fence": floor})
@@ -520,7 +521,7 @@
             return "silenced: " + self.silenced
         if self.vote.failed_at is not None:
             return "its disk does not keep its vote"
-        if self.founding is not None:
+        if self.bootstrap is not None:
             return "waits for the others named to vote"
         return "remembers no vote" if self.owner.kept.blank else ROLES[self.owner.role]
 
