--- a/tests/membership_support.py
+++ b/tests/membership_support.py
@@ -1,4 +1,4 @@
-"""One membership alone, and the updates that it is told of."""
+"""One membership alone, and the updates that it receives."""
 
 from valeturn.cluster.membership import MemberIdentity, Membership
 from valeturn.transport.seeded_random import Chance
