--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -133,7 +133,7 @@
             fleet, turns_options, lambda: measured, lambda: self.drained.append(name), ignore
         )
         self.fleets[name] = fleet
-        if fleet.founding is not None and fleet.founding.alone():
+        if fleet.bootstrap is not None and fleet.bootstrap.complete_if_alone():
             fleet.found()
 
     def stop(self, name: str) -> None:
@@ -176,11 +176,12 @@
     """Stands for the links of one server."""
 
     def __init__(self, network: Network, *words: Any) -> None:
-        _, fleet, self.listen, self.who, self.hear, *_ = words
+        _, local, *_ = words
+        fleet, self.listen, self.who, self.hear = local
         self.network = network
         self.fleet = fleet
         self.decoder = codec.Decoder(fleet)
-        self.links = ()
+        self.open_connections = ()
         network.ends[self.listen] = self
 
     def send(self, at: str, kind: str, fields: list[Any]) -> None:
@@ -302,9 +303,8 @@
     def dial(*words: Any) -> Stream:
         return Stream(scheduler, here)
 
-    end = peer_connections.Links(
-        scheduler, FLEET, "127.77.0.9:4391", lambda: ("n1", 17), ignore, Chance(1), ignore, dial
-    )
+    local = peer_connections.LocalEndpoint(FLEET, "127.77.0.9:4391", lambda: ("n1", 17), ignore)
+    end = peer_connections.PeerConnections(scheduler, local, Chance(1), ignore, dial)
     end.send("127.77.0.9:4392", "ping", [1, []])
     scheduler.call_later(0.2, scheduler.stop)
     scheduler.run()
@@ -380,10 +380,16 @@
     assert recorded == KINDS_OF_MESSAGES
 
 
+# Today's terms for the reasons that the earlier version gave.
+DECODE_FAILURES = {"damaged": "checksum", "unreadable": "malformed", "other_fleet": "other_cluster"}
+
+
 @pytest.mark.parametrize("case", golden("wire/faults.json"), ids=lambda case: case["why"])
 def test_message_that_was_refused_is_refused_the_same(case: dict[str, str]) -> None:
     found = codec.Decoder(FLEET).feed(bytes.fromhex(case["bytes"]))
-    assert plain(found) == [[case["why"]]]
+    (error,) = found
+    assert isinstance(error, codec.DecodeError)
+    assert error.reason.value == DECODE_FAILURES.get(case["why"], case["why"])
 
 
 def test_servers_send_the_messages_of_earlier_version() -> None:
--- a/valeturn/cluster/node.py
+++ b/valeturn/cluster/node.py
@@ -14,11 +14,13 @@
 from ..transport.streams import Stream, connect
 from ..transport.worker_thread import Helper
 from . import limits, singleton_tasks, task_processes, vote_file
-from .bootstrap import Founding
+from .bootstrap import Bootstrap, voter_set_to_wire
 from .call_quota import Calls
 from .fencing import Fences
-from .membership import ALIVE, LEFT, STATES, SUSPECTED, Membership
-from .peer_connections import Links
+from .member_messages import ALIVE, LEFT, SUSPECTED
+from .member_table import STATE_NAMES, Effect
+from .membership import MemberIdentity, Membership
+from .peer_connections import LocalEndpoint, PeerConnections
 from .raft import ROLE_NAMES, Committed, RaftNode, Send
 from .replicated_state import ADD_VOTER, GRANT_LEASE, REMOVE_VOTER, ClusterState
 from .vote_persistence import Keeping
@@ -43,7 +45,7 @@
     dial: object = connect
     folder: object = vote_file.Folder
     wall: object = time.time  # for the number of a life alone
-    links: object = Links
+    peer_connections: object = PeerConnections
 
 
 class Fleet:
@@ -70,14 +72,13 @@
             chance.share()
         now = self.clock()
         self.started_at = now
-        self.membership = Membership(
-            name, options.listen, options.zone, life, options.seeds, chance, now, options.probe
-        )
+        identity = MemberIdentity(name, options.listen, options.zone, life)
+        self.membership = Membership(identity, options.seeds, chance, now, options.probe)
         self.owner = self.make_owner(durable=kept)
-        self.founding = None
+        self.bootstrap = None
         if name in options.voters and self.owner.durable.state_lost and not self.owner.state.voters:
             floor = 0 if options.folder is not None else int(seams.wall()) << limits.EPOCH
-            self.founding = Founding(name, self.vote_life, floor, options.voters)
+            self.bootstrap = Bootstrap(name, self.vote_life, floor, options.voters)
         self.vote = Keeping(self.vote_folder, self.helper, self.encode_vote)
         self.duties = singleton_tasks.Duties(name, self.vote_life, now)
         self.fences = Fences()
@@ -92,12 +93,11 @@
         self.elections, self.closed, self.leaving = 0, False, False
         self.handing = None  # to whom it hands over, "" to any, while its commands end
         self.founded_set, self.asked_in = None, set()  # as told to the others; names that an operator admits
-        self.links = seams.links(
-            scheduler, options.name, options.listen, self.who, self.hear, chance, count, seams.dial
-        )
+        local = LocalEndpoint(options.name, options.listen, self.who, self.hear)
+        self.peer_connections = seams.peer_connections(scheduler, local, chance, count, seams.dial)
 
     def who(self):
-        return self.name, self.membership.me.life
+        return self.name, self.membership.local.generation
 
     def encode_vote(self, kept):
         o = self.options
@@ -107,7 +107,7 @@
         if self.helper is not None:
             self.scheduler.spawn(self.hear_the_disk, name="vote")
         self.scheduler.spawn(self.run, name="fleet")
-        if self.founding is not None and self.founding.alone():
+        if self.bootstrap is not None and self.bootstrap.complete_if_alone():
             self.found()
 
     # ---- time
@@ -120,7 +120,7 @@
     def tick(self):
         now = self.clock()
         self.carry_membership(self.membership.tick(now))
-        self.links.tick()
+        self.peer_connections.tick()
         if self.silenced:
             return
         if self.vote.failed_at is not None:
@@ -181,7 +181,7 @@
             return
         now, kind, fields, sender = self.clock(), message.kind, message.fields, message.sender
         if kind in Membership.KINDS:
-            self.carry_membership(self.membership.hear(now, sender, message.life, kind, fields, at))
+            self.carry_membership(self.membership.receive(now, sender, message.generation, kind, fields))
         elif self.silenced:
             return
         elif kind in RaftNode.KINDS:
@@ -190,33 +190,33 @@
         else:
             taker = next((one for one in (self, *self.others) if kind in one.KINDS), None)
             if taker is None:
-                self.count("fleet.refused.kind")
+                self.count("cluster.messages_rejected.kind")
                 return
             try:
                 taker.KINDS[kind](taker, now, sender, *fields)
             except (TypeError, ValueError, IndexError):
-                self.count("fleet.refused.fields")
+                self.count("cluster.messages_rejected.fields")
 
     def send(self, name, kind, fields):
         member = self.membership.get(name)
         if member is not None and name != self.name:
-            self.links.send(member.address, kind, fields)
+            self.peer_connections.send(member.address, kind, fields)
 
     def carry_membership(self, sends):
         for _, at, kind, fields in sends:
-            self.links.send(at, kind, fields)
+            self.peer_connections.send(at, kind, fields)
         for change in self.membership.take_changes():
-            if change.what == "name_taken":
+            if change.effect is Effect.NAME_CONFLICT:
                 self.silence(f"another server at {change.member.address} says that it is {self.name}")
                 continue
-            self.count("fleet.members." + change.what)
+            self.count("cluster.members." + change.effect.value)
             self.log(
-                "fleet_member",
+                "member_changed",
                 {
                     "member": change.name,
-                    "what": change.what,
+                    "change": change.effect.value,
                     "zone": change.member.zone,
-                    "by": change.member.accuser or "-",
+                    "suspected_by": change.member.suspected_by or "-",
                 },
             )
 
@@ -304,29 +304,30 @@
                     self.told_facts[name] = mark, now
                     self.send(name, "facts", fields)
         if not self.owner.durable.state_lost:  # it was admitted by others that had founded without it
-            self.founding = None
-        if self.founding is not None or self.owner.durable.state_lost:
+            self.bootstrap = None
+        if self.bootstrap is not None or self.owner.durable.state_lost:
             word = (
-                self.founding.word()
-                if self.founding is not None
+                self.bootstrap.announcement()
+                if self.bootstrap is not None
                 else [[self.name, self.vote_life, 0], None, False]
             )
             owner = self.facts()[2]
-            to = self.options.voters if self.founding is not None or owner is None else [owner]
+            to = self.options.voters if self.bootstrap is not None or owner is None else [owner]
             if owner is None:  # the founders may long be others than those that vote
                 alive = self.membership.alive()
                 to = {*to, *(alive[int(self.chance.share() * len(alive))] for _ in range(ASKED))}
             for name in to:
                 self.send(name, "blank", word)
         elif self.founded_set is not None and now - self.started_at < 600.0:
+            packed = voter_set_to_wire(self.founded_set)
             for name in self.options.voters:  # one that has not heard all the words founds by this
                 if name != self.name and self.membership.get(name) is not None:
-                    self.send(name, "blank", [[self.name, self.vote_life, 0], self.founded_set, True])
+                    self.send(name, "blank", [[self.name, self.vote_life, 0], packed, True])
 
     def on_blank(self, now, sender, row, would, done):
         """One that remembers nothing, or that has just founded."""
-        if self.founding is not None:
-            if self.founding.hear(sender, row, would, done) is not None:
+        if self.bootstrap is not None:
+            if self.bootstrap.receive(sender, row, would, done) is not None:
                 self.found()
             return
         if done is not True and isinstance(row, list) and len(row) == 3 and isinstance(row[1], int):
@@ -335,13 +336,11 @@
                 self.wanted.clear()
 
     def found(self):
-        self.founded_set = self.founding.founded
-        self.founding = None
+        self.founded_set = self.bootstrap.completed
+        self.bootstrap = None
         voters = tuple((name, life) for name, life, _ in self.founded_set)
-        self.owner = self.make_owner(
-            voters=voters, fencing_token=max(floor for _, _, floor in self.founded_set)
-        )
-        self.log("fleet_founded", {"voters": ",".join(name for name, _ in voters)})
+        self.owner = self.make_owner(voters=voters, fencing_token=max(floor for _, _, floor in self.founded_set))
+        self.log("cluster_bootstrapped", {"voters": ",".join(name for name, _ in voters)})
 
     def admit(self, now):
         """The owner takes voters back that lost their memory, and in those that an operator named."""
@@ -512,7 +511,7 @@
         _, facts, _ = self.facts()
         floor = (self.epoch(max([facts.fencing_token, *self.fences.seen.values()])) + 1) << limits.EPOCH
         self.vote_anew()
-        self.founding = None
+        self.bootstrap = None
         voters = ((self.name, self.vote_life),)
         self.owner = self.make_owner(voters=voters, fencing_token=floor, term=self.owner.durable.term + 1)
         self.log("fleet_revived", {"fence": floor})
@@ -524,14 +523,14 @@
             return "silenced: " + self.silenced
         if self.vote.failed_at is not None:
             return "its disk does not keep its vote"
-        if self.founding is not None:
+        if self.bootstrap is not None:
             return "waits for the others named to vote"
         return "remembers no vote" if self.owner.durable.state_lost else ROLE_NAMES[self.owner.role]
 
     def status(self):
         now = self.clock()
         term, facts, owner = self.facts()
-        members = [self.membership.me, *self.membership.members.values()]
+        members = [self.membership.local, *self.membership.members.values()]
         leads = self.leads(now)
         return {
             "name": self.options.name,
@@ -541,15 +540,15 @@
             "lease_left_s": round(max(0.0, self.owner.lease_until - now), 3) if leads else None,
             "role": self.role(),
             "voters": [name for name, _ in facts.voters],
-            "doubt": self.membership.doubt,
+            "doubt": self.membership.health.score,
             "members": [
                 {
                     "name": m.name,
                     "address": m.address,
                     "zone": m.zone,
-                    "state": STATES[m.state],
+                    "state": STATE_NAMES[m.state],
                     "for_s": round(now - m.since, 1),
-                    "accused_by": m.accuser if m.state == SUSPECTED else "",
+                    "accused_by": m.suspected_by if m.state == SUSPECTED else "",
                 }
                 for m in sorted(members)
             ],
@@ -559,7 +558,7 @@
             ],
             "share": None if self.calls is None else self.calls.figures(now),
             "split": self.calls.split_figures(now) if self.calls is not None and leads else None,
-            "links": len(self.links.links),
+            "links": len(self.peer_connections.open_connections),
             "elections": self.elections,
         }
 
@@ -573,8 +572,8 @@
             "leads": int(self.leads(now)),
             "term": self.owner.durable.term,
             "fence": self.facts()[1].fencing_token,
-            "links": len(self.links.links),
-            "doubt": self.membership.doubt,
+            "links": len(self.peer_connections.open_connections),
+            "doubt": self.membership.health.score,
             "elections": self.elections,
             "fence_refused": self.fences.refused,
             "share": -1 if self.calls is None else self.calls.usable(),
@@ -601,7 +600,7 @@
 
     def depart(self):
         """The others hear that it goes by itself, and need not suspect it."""
-        if self.membership.me.state != LEFT:
+        if self.membership.local.state != LEFT:
             self.carry_membership(self.membership.leave(self.clock()))
 
     def close(self, patience):
@@ -610,7 +609,7 @@
         self.depart()
         self.closed = True
         self.runs.close_all()
-        self.links.close_now()
+        self.peer_connections.close_now()
         if self.helper is not None:
             self.helper.finish(max(0.01, patience))
             self.vote_folder.release()
