--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -1,17 +1,14 @@
 """What a fleet's server decides beside membership and owner: shares, duties, founding, fences, links."""
 
 import json
-import os
 import pathlib
-import signal
 import socket
 import subprocess
 import sys
-import time
 
 import pytest
 
-from valeturn.cluster import bootstrap, codec, fencing, peer_connections, process_guard, vote_file
+from valeturn.cluster import bootstrap, codec, peer_connections, vote_file
 from valeturn.cluster import quota as fs
 from valeturn.cluster import raft as ow
 from valeturn.cluster import singleton_tasks as du
@@ -325,31 +322,7 @@
     assert broken == "one holder of a fence"
 
 
-# ---- fences, votes
-
-
-def test_a_file_is_replaced_under_numbers_that_only_rise(tmp_path):
-    file = tmp_path / "f"
-    fencing.replace(str(file), b"one", 5)
-    fencing.replace(str(file), b"two", 5)
-    with pytest.raises(fencing.Stale):
-        fencing.replace(str(file), b"late", 4)
-    assert file.read_bytes() == b"two"
-
-    def command(fence, **environment):
-        return subprocess.run(
-            [sys.executable, "-m", "valeturn", "fleet", "fenced-replace", str(file), *fence],
-            input=b"three",
-            cwd=ROOT,
-            env={**os.environ, **environment},
-            capture_output=True,
-        )
-
-    assert command(["--fence", "4"]).returncode == 3 and file.read_bytes() == b"two"
-    assert command([], VALETURN_FENCE="6").returncode == 0 and file.read_bytes() == b"three"
-    assert command(["--fence", "six"]).returncode == 2
-    seen = fencing.Fences(2)
-    assert seen.passes("a", 3) and not seen.passes("a", 2) and seen.passes("b", 1) and not seen.passes("c", 9)
+# ---- votes
 
 
 def test_a_vote_is_read_back_and_refused_where_it_is_another_s_or_damaged(tmp_path):
@@ -424,48 +397,6 @@
     assert rules(GOOD + two.format("a") + two.format("b")) == ["doubled-duty"]
 
 
-# ---- a command's guard
-
-
-def run_guard(command, lines, patience="0.2", wait=5.0):
-    process = subprocess.Popen(
-        [sys.executable, "-I", "-S", process_guard.__file__, patience, command],
-        stdin=subprocess.PIPE,
-        stdout=subprocess.PIPE,
-    )
-    for line in lines:
-        process.stdin.write(line)
-        process.stdin.flush()
-        time.sleep(0.25)  # the shell has set its trap by then
-    said = json.loads(process.stdout.readline())
-    process.stdin.close()
-    process.wait(wait)
-    return said
-
-
-def until(seconds):
-    return b"until %.6f\n" % (time.clock_gettime(time.CLOCK_BOOTTIME) + seconds)
-
-
-def test_a_guard_tells_how_a_command_ended_and_ends_it_with_its_lease(tmp_path):
-    said = run_guard("echo done; exit 3", [until(5)])
-    assert said == {"code": 3, "why": "ended", "tail": "done\n"}
-    began = time.monotonic()
-    said = run_guard("trap '' TERM; while :; do sleep 0.05; done", [until(0.8)])
-    assert said["why"] == "lease over" and said["code"] == -signal.SIGKILL and time.monotonic() - began < 1.2
-    said = run_guard("trap 'echo bye; exit 0' TERM; while :; do sleep 0.02; done", [until(9), b"stop\n"])
-    assert said["why"] == "told to stop" and said["code"] == 0 and said["tail"].endswith("bye\n")
-
-
-def test_what_a_command_left_behind_in_a_session_of_its_own_ends_too(tmp_path):
-    mark = tmp_path / "mark"
-    said = run_guard(f"setsid sh -c 'while :; do date > {mark}; sleep 0.05; done' & sleep 0.3", [until(9)])
-    assert said["code"] == 0 and mark.exists()
-    mark.unlink()
-    time.sleep(0.3)
-    assert not mark.exists()
-
-
 # ---- links
 
 
--- a/valeturn/cluster/call_quota.py
+++ b/valeturn/cluster/call_quota.py
@@ -55,7 +55,7 @@
         grant = quota.Grant(int(fence), int(number), *map(float, amounts))
         holder, stale, before = self.holder, self.holder.stale, self.holder.usable(now)
         if holder.granted(now, grant):
-            self.fleet.fences.passes(self.name, grant.fence)
+            self.fleet.fencing_tokens.accept(self.name, grant.fence)
             self.fleet.count("fleet.shares.taken")
             if abs(holder.amount - before) > 0.1 * before:
                 self.fleet.log(
--- a/valeturn/cluster/commands.py
+++ b/valeturn/cluster/commands.py
@@ -98,14 +98,14 @@
 def fenced_replace(path, fence, source):
     """Replaces a file with standard input, unless a higher number was there: exit code 3 then."""
     text = fence if fence is not None else os.environ.get("VALETURN_FENCE", "")
-    if not text.isascii() or not text.isdigit() or int(text) > fencing.MOST:
+    if not text.isascii() or not text.isdigit() or int(text) > fencing.HIGHEST_TOKEN:
         print(f"valeturn: --fence or VALETURN_FENCE wants a number, has {text!r}", file=sys.stderr)
         return 2
     try:
-        fencing.replace(path, source.read(), int(text))
-    except fencing.Stale as stale:
+        fencing.replace_file(path, source.read(), int(text))
+    except fencing.StaleTokenError as stale:
         print(
-            f"valeturn: {path}: {stale.args[0]} is lower than {stale.args[1]}, which was there already",
+            f"valeturn: {path}: {stale.token} is lower than {stale.highest_seen}, which was there already",
             file=sys.stderr,
         )
         return STALE
--- a/valeturn/cluster/node.py
+++ b/valeturn/cluster/node.py
@@ -16,7 +16,7 @@
 from . import limits, singleton_tasks, task_processes, vote_file
 from .bootstrap import Founding
 from .call_quota import Calls
-from .fencing import Fences
+from .fencing import FencingTokens
 from .membership import ALIVE, LEFT, STATES, SUSPECTED, Membership
 from .peer_connections import Links
 from .raft import ROLES, Facts, Owner, Send
@@ -80,7 +80,7 @@
             self.founding = Founding(name, self.vote_life, floor, options.voters)
         self.vote = Keeping(self.vote_folder, self.helper, self.encode_vote)
         self.duties = singleton_tasks.Duties(name, self.vote_life, now)
-        self.fences = Fences()
+        self.fencing_tokens = FencingTokens()
         self.others = []  # subsystems on top: kinds, tick(now, term), each with messages of its own
         self.calls = None  # its share of them, where a duty splits them
         environment = {"VALETURN_SERVER": name, "VALETURN_FLEET": options.name}
@@ -256,7 +256,7 @@
         if told.fact[0] == "grant":
             _, name, owner, life = told.fact
             fence = told.facts.duty(name)[3]
-            self.fences.passes(name, fence)
+            self.fencing_tokens.accept(name, fence)
             now = self.clock()
             if (owner, life) == (self.name, self.vote_life) and self.leads(now):
                 term = self.owner.kept.term
@@ -363,7 +363,7 @@
             return
         self.heard_facts = term, facts, sender, now
         for name, _, _, fence in facts.duties:
-            self.fences.passes(name, fence)
+            self.fencing_tokens.accept(name, fence)
         if self.owner.may_vote() and (self.name, self.vote_life) not in facts.voters:
             self.forget()
 
@@ -506,7 +506,7 @@
         ):
             return f"there is an owner: {self.owner.leader}"
         _, facts, _ = self.facts()
-        floor = (self.epoch(max([facts.fence, *self.fences.seen.values()])) + 1) << limits.EPOCH
+        floor = (self.epoch(max([facts.fence, *self.fencing_tokens.highest_seen.values()])) + 1) << limits.EPOCH
         self.vote_anew()
         self.founding = None
         voters = ((self.name, self.vote_life),)
@@ -570,7 +570,7 @@
             "links": len(self.links.links),
             "doubt": self.membership.doubt,
             "elections": self.elections,
-            "fence_refused": self.fences.refused,
+            "fence_refused": self.fencing_tokens.rejected_count,
             "share": -1 if self.calls is None else self.calls.usable(),
         }
 
--- a/valeturn/cluster/process_guard.py
+++ b/valeturn/cluster/process_guard.py
@@ -1,13 +1,18 @@
-"""Runs one command for a duty and sees to it that it ends with the lease, whatever becomes of the server.
+"""Run one command of a singleton task and end it with the lease, whatever becomes of the server.
 
-A program of its own, started as `python -I -S guard.py PATIENCE COMMAND` so that a server that is stopped,
-slow or gone does not leave its command running: standard input brings "until SECONDS" lines by the boot
-clock; at that moment, less what ending takes, the command gets TERM, then KILL, and with it all that it
-started, also what left its group. The end of input is the end of the server: the command ends at once.
+This is a program of its own, started as `python -I -S process_guard.py GRACE_PERIOD COMMAND`, so that a
+server that is stopped, slow or gone does not leave its command running. It imports the standard library only.
 
-Standard output brings one JSON line at the end: code or signal, why, and the last of what it printed.
+Standard input carries lines: `until SECONDS` gives the end of the lease by the boot clock, `stop` ends the
+command. The guard sends TERM early enough before the lease ends for the grace period, then KILL, to all that
+the command started, also to what left its process group. End of input means that the server is gone: the
+command is killed at once.
+
+Standard output carries one JSON line at the end: `code` (exit code, or the negated signal number), `why`, and
+`tail`, the last of what the command printed.
 """
 
+import contextlib
 import ctypes
 import json
 import os
@@ -16,118 +21,215 @@
 import subprocess
 import sys
 import time
+from collections.abc import Iterable
 
-TAIL = 2000  # bytes kept, as cluster/limits.py has it
-KILLED = 0.15  # of the last lease told, before its end, at which all is killed: see dutyoptions
-SUBREAPER, DIE_WITH_PARENT = 36, 1  # prctl's
-LOOK = 0.02  # s between looks: a tenth of what is set aside for ending at the shortest lease
+# Bytes kept of the command's output: the same as cluster/limits.py has, which is not imported here.
+OUTPUT_TAIL_BYTES = 2000
+# Fraction of the lease last announced, before its end, at which all is killed: as in task_options.py.
+KILL_MARGIN = 0.15
+# Seconds between checks: a tenth of what is set aside for ending the command at the shortest lease.
+CHECK_INTERVAL_S = 0.02
+# Seconds that a command may run before the first lease is announced: the server announces it at the start.
+INITIAL_LEASE_S = 1.0
+# Bytes read from a pipe at once: what a Linux pipe holds.
+READ_BYTES = 65536
+STANDARD_INPUT = 0
+# Options of prctl(2).
+PR_SET_CHILD_SUBREAPER = 36
+PR_SET_PDEATHSIG = 1
 
 
-def now():
+def boot_time() -> float:
+    """Return the seconds since the machine was booted, suspend included."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
-def children_of(roots):
-    """All processes below these, from /proc: those that left the group too, as they come to this process."""
-    parents = {}
+def live_children_by_parent() -> dict[int, list[int]]:
+    """Return the process ids below each parent, from /proc, without zombies."""
+    children: dict[int, list[int]] = {}
     for entry in os.listdir("/proc"):
-        if entry.isdigit():
-            try:
-                with open(f"/proc/{entry}/stat", "rb") as file:
-                    rest = file.read().rpartition(b")")[2].split()
-            except OSError:
-                continue
-            if rest[0] != b"Z":
-                parents.setdefault(int(rest[1]), []).append(int(entry))
-    found, todo = [], list(roots)
-    while todo:
-        for child in parents.get(todo.pop(), ()):
-            found.append(child)
-            todo.append(child)
+        if not entry.isdigit():
+            continue
+        try:
+            with open(f"/proc/{entry}/stat", "rb") as file:
+                state, parent = file.read().rpartition(b")")[2].split()[:2]
+        except OSError:  # the process has ended meanwhile
+            continue
+        if state != b"Z":
+            children.setdefault(int(parent), []).append(int(entry))
+    return children
+
+
+def descendants_of(roots: Iterable[int]) -> list[int]:
+    """Return all live processes below these.
+
+    Processes that left the process group are included: when their parent ends they become children of this
+    process, which is a subreaper.
+    """
+    children = live_children_by_parent()
+    found: list[int] = []
+    to_visit = list(roots)
+    while to_visit:
+        below = children.get(to_visit.pop(), [])
+        found.extend(below)
+        to_visit.extend(below)
     return found
 
 
-def send(number):
-    """To all that the command started; True where there was one."""
-    there = children_of([os.getpid()])
-    for process in there:
-        try:
+def signal_descendants(number: int) -> bool:
+    """Send a signal to all that the command started and return whether there was any process."""
+    processes = descendants_of([os.getpid()])
+    for process in processes:
+        with contextlib.suppress(OSError):  # it has ended meanwhile
             os.kill(process, number)
-        except OSError:
-            pass
-    return bool(there)
+    return bool(processes)
 
 
-def main(patience, command):
+def ignore_signal(*_: object) -> None:
+    """Handle a signal by doing nothing: only the server ends this program."""
+
+
+def start_command(command: str, output: int) -> subprocess.Popen[bytes]:
+    """Start the command in a session of its own, with its output going to a descriptor."""
     libc = ctypes.CDLL(None, use_errno=True)
-    libc.prctl(SUBREAPER, 1, 0, 0, 0)
+    libc.prctl(PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0)
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-        signal.signal(number, lambda *_: None)  # the server's word alone ends it; ignoring would be inherited
-    output, theirs = os.pipe()
-    child = subprocess.Popen(
+        # A handler in place of SIG_IGN, which the command would inherit.
+        signal.signal(number, ignore_signal)
+    return subprocess.Popen(
         ["/bin/sh", "-c", command],
         stdin=subprocess.DEVNULL,
-        stdout=theirs,
-        stderr=theirs,
+        stdout=output,
+        stderr=output,
         start_new_session=True,
-        preexec_fn=lambda: libc.prctl(DIE_WITH_PARENT, signal.SIGKILL, 0, 0, 0),
+        preexec_fn=lambda: libc.prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0),
         restore_signals=True,
     )
-    os.close(theirs)
-    poller = select.poll()
-    poller.register(0, select.POLLIN)
-    poller.register(output, select.POLLIN)
-    tail, held, until, told_at = b"", b"", now() + 1.0, now()
-    term_at = kill_at = None
-    termed = False
-    why, code = "ended", None
-    while True:
-        for descriptor, _ in poller.poll(1000 * LOOK):
-            data = os.read(descriptor, 65536)
-            if not data:
-                poller.unregister(descriptor)
-                if descriptor == 0:  # the server is gone
-                    why, term_at, kill_at = "server gone", now(), now()
-            elif descriptor == output:
-                tail = (tail + data)[-TAIL:]
-            else:
-                *lines, held = (held + data).split(b"\n")
-                for line in lines:
-                    word, _, value = line.partition(b" ")
-                    if word == b"until":
-                        until, told_at = float(value), now()
-                    elif word == b"stop" and term_at is None:
-                        why, term_at, kill_at = "told to stop", now(), now() + patience
-        moment, margin = now(), KILLED * max(0.0, until - told_at)
-        if kill_at is None and moment >= until - margin - patience:
-            why, term_at, kill_at = "lease over", moment, min(moment + patience, until - margin)
-        if kill_at is not None:
-            kill_at = min(kill_at, max(term_at, until - margin))
-        if term_at is not None and moment >= kill_at:
-            send(signal.SIGKILL)
-        elif term_at is not None and not termed:
-            termed = send(signal.SIGTERM)
-        while True:  # what came to this process when its parent ended is reaped too
+
+
+class ProcessGuard:
+    """One command, the lease that it runs under, and the deadlines for ending it.
+
+    All timestamps and durations are in seconds of the boot clock.
+    """
+
+    def __init__(self, grace_period: float, command: str) -> None:
+        self.grace_period = grace_period
+        self.output, command_end = os.pipe()
+        self.child = start_command(command, command_end)
+        os.close(command_end)
+        self.poller = select.poll()
+        self.poller.register(STANDARD_INPUT, select.POLLIN)
+        self.poller.register(self.output, select.POLLIN)
+        self.output_tail = b""
+        self.partial_line = b""
+        self.lease_end = boot_time() + INITIAL_LEASE_S
+        self.lease_received_at = boot_time()
+        # Both are None until the command has to end.
+        self.term_at: float | None = None
+        self.kill_at: float | None = None
+        self.term_sent = False
+        self.reason = "ended"
+        self.exit_code: int | None = None
+
+    def run(self) -> None:
+        """Guard the command until it and all its descendants are gone, then print the result."""
+        while True:
+            for descriptor, _ in self.poller.poll(1000 * CHECK_INTERVAL_S):
+                self.receive(descriptor)
+            now = boot_time()
+            self.check_lease(now)
+            self.send_due_signals(now)
+            self.reap()
+            if self.exit_code is not None:
+                if not descendants_of([os.getpid()]):
+                    break
+                self.end_left_behind(now)
+        self.drain_output()
+        tail = self.output_tail.decode(errors="replace")[-OUTPUT_TAIL_BYTES:]
+        print(json.dumps({"code": self.exit_code, "why": self.reason, "tail": tail}), flush=True)
+
+    def receive(self, descriptor: int) -> None:
+        """Read what has come from the server or from the command."""
+        data = os.read(descriptor, READ_BYTES)
+        if not data:
+            self.poller.unregister(descriptor)
+            if descriptor == STANDARD_INPUT:
+                self.end_command("server gone", boot_time(), boot_time())
+        elif descriptor == self.output:
+            self.append_output(data)
+        else:
+            *lines, self.partial_line = (self.partial_line + data).split(b"\n")
+            for line in lines:
+                self.receive_line(line)
+
+    def receive_line(self, line: bytes) -> None:
+        """Carry out one line from the server."""
+        keyword, _, value = line.partition(b" ")
+        if keyword == b"until":
+            self.lease_end = float(value)
+            self.lease_received_at = boot_time()
+        elif keyword == b"stop" and self.term_at is None:
+            self.end_command("told to stop", boot_time(), boot_time() + self.grace_period)
+
+    def append_output(self, data: bytes) -> None:
+        """Keep the last of the command's output."""
+        self.output_tail = (self.output_tail + data)[-OUTPUT_TAIL_BYTES:]
+
+    def end_command(self, reason: str, term_at: float, kill_at: float) -> None:
+        """Set why and when the command is ended."""
+        self.reason = reason
+        self.term_at = term_at
+        self.kill_at = kill_at
+
+    def last_kill_time(self) -> float:
+        """Return when all must be killed at the latest so that nothing outlives the lease."""
+        return self.lease_end - KILL_MARGIN * max(0.0, self.lease_end - self.lease_received_at)
+
+    def check_lease(self, now: float) -> None:
+        """Start ending the command when the lease runs out, and keep KILL within the lease."""
+        last_kill_time = self.last_kill_time()
+        if self.kill_at is None and now >= last_kill_time - self.grace_period:
+            self.end_command("lease over", now, min(now + self.grace_period, last_kill_time))
+        if self.kill_at is not None and self.term_at is not None:
+            self.kill_at = min(self.kill_at, max(self.term_at, last_kill_time))
+
+    def send_due_signals(self, now: float) -> None:
+        """Send TERM once, and KILL in each round from its time on."""
+        if self.kill_at is None:
+            return
+        if now >= self.kill_at:
+            signal_descendants(signal.SIGKILL)
+        elif not self.term_sent:
+            self.term_sent = signal_descendants(signal.SIGTERM)
+
+    def reap(self) -> None:
+        """Reap all ended processes, also those that this subreaper inherited."""
+        while True:
             try:
                 process, status = os.waitpid(-1, os.WNOHANG)
             except ChildProcessError:
-                break
+                return
             if process == 0:
-                break
-            if process == child.pid:
-                code = os.waitstatus_to_exitcode(status)
-                child.returncode = code
-        if code is not None and not children_of([os.getpid()]):
-            break
-        if code is not None and term_at is None:  # it ended and left others behind: they end with it
-            term_at, kill_at = moment, moment + min(patience, max(0.0, until - margin - moment))
-    while select.select([output], [], [], 0)[0]:
-        data = os.read(output, 65536)
-        if not data:
-            break
-        tail = (tail + data)[-TAIL:]
-    print(json.dumps({"code": code, "why": why, "tail": tail.decode(errors="replace")[-TAIL:]}), flush=True)
+                return
+            if process == self.child.pid:
+                self.exit_code = os.waitstatus_to_exitcode(status)
+                self.child.returncode = self.exit_code
+
+    def end_left_behind(self, now: float) -> None:
+        """End the processes that the command left behind when it ended by itself."""
+        if self.term_at is None:
+            time_left = max(0.0, self.last_kill_time() - now)
+            self.end_command(self.reason, now, now + min(self.grace_period, time_left))
+
+    def drain_output(self) -> None:
+        """Read what the command printed last."""
+        while select.select([self.output], [], [], 0)[0]:
+            data = os.read(self.output, READ_BYTES)
+            if not data:
+                return
+            self.append_output(data)
 
 
 if __name__ == "__main__":
-    main(float(sys.argv[1]), sys.argv[2])
+    ProcessGuard(float(sys.argv[1]), sys.argv[2]).run()
--- a/valeturn/lab/fault_injection/fleet.py
+++ b/valeturn/lab/fault_injection/fleet.py
@@ -14,7 +14,7 @@
 import time
 
 from ...cluster.node import boot_clock
-from ...cluster.process_guard import children_of
+from ...cluster.process_guard import descendants_of
 from ...transport.seeded_random import Chance
 from ..checker import check
 from ..executor import Executor, Plan
@@ -231,7 +231,7 @@
 
     def tree(self, server):
         """The server's process and all that it started."""
-        return [server.process.pid, *children_of([server.process.pid])]
+        return [server.process.pid, *descendants_of([server.process.pid])]
 
     def stop(self, name, whole=True):
         """SIGSTOP: of the server alone, or of its commands too, as a machine that stands still."""
--- a/valeturn/server/components/cluster.py
+++ b/valeturn/server/components/cluster.py
@@ -49,10 +49,10 @@
     def answer(self, request):
         fleet = self.fleet
         if isinstance(request, requests.Fenced):
-            if fleet.fences.passes("control." + request.name, request.number):
+            if fleet.fencing_tokens.accept("control." + request.name, request.number):
                 return None
             return requests.refused(
-                f"{request.number} is lower than {fleet.fences.seen['control.' + request.name]}, "
+                f"{request.number} is lower than {fleet.fencing_tokens.highest_seen['control.' + request.name]}, "
                 "which was seen here: another has taken over"
             )
         if not isinstance(request, requests.Fleet):
