--- a/valeturn/cluster/node.py
+++ b/valeturn/cluster/node.py
@@ -79,12 +79,12 @@
             floor = 0 if options.folder is not None else int(seams.wall()) << limits.EPOCH
             self.founding = Founding(name, self.vote_life, floor, options.voters)
         self.vote = Keeping(self.vote_folder, self.helper, self.encode_vote)
-        self.duties = singleton_tasks.Duties(name, self.vote_life, now)
+        self.singleton_tasks = singleton_tasks.SingletonTasks(name, self.vote_life)
         self.fencing_tokens = FencingTokens()
         self.others = []  # subsystems on top: kinds, tick(now, term), each with messages of its own
         self.calls = None  # its share of them, where a duty splits them
         environment = {"VALETURN_SERVER": name, "VALETURN_FLEET": options.name}
-        self.runs = task_processes.Runs(scheduler, environment, self.run_ended)
+        self.task_processes = task_processes.TaskProcesses(scheduler, environment, self.run_ended)
         self.wanted = {}  # name -> life of those that would vote
         self.heard_facts = None  # what a server that does not vote was told: (term, facts, owner, when)
         self.told_at, self.told_facts = -1e9, {}  # name -> ((term, commit), when) that it was told last
@@ -138,7 +138,7 @@
             self.tell(now, term)
         if term is not None:
             self.admit(now)
-        self.carry_duties(self.duties.tick(now, term))
+        self.carry_duties(self.singleton_tasks.tick(now, term))
         self.tell_guards()
         if self.calls is not None:
             self.calls.tick(now)
@@ -166,10 +166,10 @@
     def acts(self, name):
         """The fence under which this server may have an effect for that duty at this moment, or None: to be
         asked after every wait and before every effect."""
-        duty = self.duties.duties.get(name)
-        if duty is None or not self.leads(self.clock()) or not duty.holds(self.owner.kept.term):
+        task = self.singleton_tasks.tasks.get(name)
+        if task is None or not self.leads(self.clock()) or not task.is_held(self.owner.kept.term):
             return None
-        return duty.fence
+        return task.fencing_token
 
     # ---- messages
 
@@ -224,7 +224,7 @@
             self.silenced = why
             self.log("fleet_silenced", {"why": why})
             now = self.clock()
-            self.carry_duties(self.duties.tick(now, None))
+            self.carry_duties(self.singleton_tasks.tick(now, None))
 
     def carry(self, effects):
         for effect in self.vote.carry(effects):
@@ -261,7 +261,7 @@
             if (owner, life) == (self.name, self.vote_life) and self.leads(now):
                 term = self.owner.kept.term
                 if self.owner.term_of(told.index) == term:
-                    self.carry_duties(self.duties.granted(now, term, name, fence))
+                    self.carry_duties(self.singleton_tasks.grant_committed(now, term, name, fence))
         if told.fact[0] in ("admit", "dismiss"):
             self.log(
                 "fleet_voters",
@@ -379,7 +379,7 @@
 
     def vote_anew(self):
         """In a life that has never voted."""
-        self.vote_life = self.duties.life = max(int(1000 * self.seams.wall()), self.vote_life + 1)
+        self.vote_life = self.singleton_tasks.incarnation = max(int(1000 * self.seams.wall()), self.vote_life + 1)
 
     def make_owner(self, **how):
         return Owner(self.name, self.vote_life, self.options.lease, self.chance, self.clock(), **how)
@@ -403,35 +403,35 @@
     # ---- duties
 
     def configure(self, configured):
-        self.carry_duties(self.duties.put(self.clock(), configured))
+        self.carry_duties(self.singleton_tasks.configure(self.clock(), configured))
 
     def carry_duties(self, effects):
         now = self.clock()
         for effect in effects:
             if isinstance(effect, singleton_tasks.Propose):
-                self.propose(effect.fact)
-            elif isinstance(effect, singleton_tasks.Start):
+                self.propose(effect.entry)
+            elif isinstance(effect, singleton_tasks.StartCommand):
                 self.start_command(now, effect)
-            elif isinstance(effect, singleton_tasks.Stop):
-                self.runs.stop(effect.name)
+            elif isinstance(effect, singleton_tasks.StopCommand):
+                self.task_processes.stop(effect.task)
             else:
                 self.log(effect.event, effect.fields)
 
     def start_command(self, now, start):
         """At the last look at the lease: what is started has its fence in its environment."""
-        why = "lease over"
-        if self.acts(start.name) == start.fence:
-            why = self.runs.start(start.name, start.command, start.fence, start.patience)
-        if why is not None:
-            self.run_ended(start.name, {"code": None, "why": why, "tail": ""})
+        failure = singleton_tasks.CommandOutcome.without_exit("lease over")
+        if self.acts(start.task) == start.fencing_token:
+            failure = self.task_processes.start(*start)
+        if failure is not None:
+            self.run_ended(start.task, failure)
         self.tell_guards()
 
     def run_ended(self, name, outcome):
-        self.carry_duties(self.duties.ended(self.clock(), name, outcome))
+        self.carry_duties(self.singleton_tasks.command_ended(self.clock(), name, outcome))
 
     def tell_guards(self):
-        if self.runs and self.leads(self.clock()):
-            self.runs.lease(self.acts, self.seams.to_boot(self.owner.lease_until))
+        if self.task_processes.running and self.leads(self.clock()):
+            self.task_processes.extend_leases(self.acts, self.seams.to_boot(self.owner.lease_until))
 
     # ---- what operators ask
 
@@ -446,7 +446,7 @@
             return "no other voter has all that is committed"
         now = self.clock()
         self.handing = to or ""
-        self.carry_duties(self.duties.tick(now, None))
+        self.carry_duties(self.singleton_tasks.tick(now, None))
         self.go_on_handing_over(now, self.owner.kept.term)
         return None
 
@@ -455,7 +455,7 @@
         named is fit no more."""
         if term is None:
             self.handing = None
-        elif not self.runs:
+        elif not self.task_processes.running:
             fit = self.successors()
             if fit:
                 to = self.handing if self.handing in fit else fit[int(self.chance.share() * len(fit))]
@@ -549,7 +549,7 @@
                 }
                 for m in sorted(members)
             ],
-            "duties": self.duties.figures(now),
+            "duties": self.singleton_tasks.status(now),
             "owners": [{"duty": duty, "owner": one, "fence": fence} for duty, one, _, fence in facts.duties],
             "share": None if self.calls is None else self.calls.figures(now),
             "split": self.calls.split_figures(now) if self.calls is not None and leads else None,
@@ -582,7 +582,7 @@
         if not self.leaving:
             self.leaving = True
             now = self.clock()
-            self.carry_duties(self.duties.tick(now, None))
+            self.carry_duties(self.singleton_tasks.tick(now, None))
             if self.leads(now):
                 self.hand_over()
 
@@ -603,7 +603,7 @@
             return
         self.depart()
         self.closed = True
-        self.runs.close_all()
+        self.task_processes.close_all()
         self.links.close_now()
         if self.helper is not None:
             self.helper.finish(max(0.01, patience))
--- a/valeturn/cluster/singleton_tasks.py
+++ b/valeturn/cluster/singleton_tasks.py
@@ -1,225 +1,363 @@
-"""What each server does about the fleet's duties: who holds one, when a command runs. No I/O.
+"""The singleton tasks of a cluster as one server sees them: who holds a task, when its command runs. No I/O.
 
-A duty is held in the term of an owner: a grant that was committed in an earlier term is not good in this one,
-also where the owner is the same, as another may have acted between. Its fence is the grant's number.
+A task is held in the term of a leader: a grant that was committed in an earlier term does not count in this
+one, even if the leader is the same, as another server may have acted in between. The fencing token of a held
+task is the number of its grant.
 """
 
 from __future__ import annotations
 
+from collections.abc import Mapping
+from enum import Enum
 from typing import NamedTuple
 
-# A duty, as this server has it.
-IDLE, ASKED, HELD = range(3)
-DUTY_STATES = ("elsewhere", "asked for", "held")
-# LEADS: this server is the owner. GRANTED: a grant to it was committed in its term. LOST: it is the owner no
-# more, or another term of its own began. REMOVED: its operator's file has the duty no more.
-LEADS, GRANTED, LOST, REMOVED = range(4)
-
-# (state, input) -> (next state, effect)
-DUTY_TABLE = {
-    (IDLE, LEADS): (ASKED, "ask"),
-    (ASKED, LEADS): (ASKED, "ask_again"),
-    (ASKED, GRANTED): (HELD, "take"),
-    (ASKED, LOST): (IDLE, "let_go"),
-    (ASKED, REMOVED): (IDLE, "drop"),
-    (HELD, GRANTED): (HELD, "take"),
-    (HELD, LOST): (IDLE, "let_go"),
-    (HELD, REMOVED): (IDLE, "drop"),
-}
+from .task_options import DutyOptions
+
+# Seconds from one request for a grant to the next: a committed grant takes two round trips.
+GRANT_REQUEST_INTERVAL_S = 1.0
+# Seconds to the next start of a command that failed, where its options give no interval.
+RETRY_INTERVAL_S = 5.0
+# Before the first request, so that the first one is always due.
+NEVER = -1e9
+
+
+class TaskState(Enum):
+    """Whether this server holds a task. The values are shown by `valeturn fleet status`."""
+
+    NOT_HELD = "elsewhere"
+    REQUESTED = "asked for"
+    HELD = "held"
+
+
+class TaskInput(Enum):
+    """What changes the state of a task."""
+
+    LEADING = "this server is the leader"
+    GRANTED = "a grant to this server was committed in its term"
+    LEADERSHIP_LOST = "this server is not the leader any more, or leads in another term"
+    REMOVED = "the operator's file does not have the task any more"
+
 
-# A command.
-RESTING, RUNNING, STOPPING, DONE = range(4)
-RUN_STATES = ("waiting", "running", "being stopped", "done")
-# DUE: the duty is held and it is time. ENDED: the command's whole group is gone. LET_GO: the duty is held no
-# more, or the server leaves. OVERDUE: it has run for longer than it may. TAKEN: the duty is held anew.
-DUE, ENDED, LET_GO, OVERDUE, TAKEN = range(5)
-RUN_TABLE = {
-    (RESTING, DUE): (RUNNING, "start"),
-    (RUNNING, ENDED): (RESTING, "ended"),
-    (RUNNING, LET_GO): (STOPPING, "stop"),
-    (RUNNING, OVERDUE): (STOPPING, "stop"),
-    (RUNNING, TAKEN): (STOPPING, "stop"),  # under an older number
-    (STOPPING, ENDED): (RESTING, "ended"),
-    (DONE, TAKEN): (RESTING, "rest"),
-    (DONE, LET_GO): (RESTING, "rest"),
+class CommandState(Enum):
+    """What the command of a task does. The values are shown by `valeturn fleet status`."""
+
+    WAITING = "waiting"
+    RUNNING = "running"
+    STOPPING = "being stopped"
+    DONE = "done"
+
+
+class CommandInput(Enum):
+    """What changes the state of a command."""
+
+    DUE = "the task is held and the command is to start"
+    ENDED = "the command and all that it started are gone"
+    RELEASED = "the task is not held any more, or the server shuts down"
+    OVERDUE = "the command has run for longer than it may"
+    ACQUIRED = "the task is held under a new fencing token"
+
+
+# (state, input) -> (next state, name of the method that carries out the transition). A pair that is missing
+# changes nothing.
+TASK_TRANSITIONS = {
+    (TaskState.NOT_HELD, TaskInput.LEADING): (TaskState.REQUESTED, "_request_grant"),
+    (TaskState.REQUESTED, TaskInput.LEADING): (TaskState.REQUESTED, "_repeat_grant_request"),
+    (TaskState.REQUESTED, TaskInput.GRANTED): (TaskState.HELD, "_acquire"),
+    (TaskState.REQUESTED, TaskInput.LEADERSHIP_LOST): (TaskState.NOT_HELD, "_release"),
+    (TaskState.REQUESTED, TaskInput.REMOVED): (TaskState.NOT_HELD, "_give_back"),
+    (TaskState.HELD, TaskInput.GRANTED): (TaskState.HELD, "_acquire"),
+    (TaskState.HELD, TaskInput.LEADERSHIP_LOST): (TaskState.NOT_HELD, "_release"),
+    (TaskState.HELD, TaskInput.REMOVED): (TaskState.NOT_HELD, "_give_back"),
+}
+COMMAND_TRANSITIONS = {
+    (CommandState.WAITING, CommandInput.DUE): (CommandState.RUNNING, "_start_command"),
+    (CommandState.RUNNING, CommandInput.ENDED): (CommandState.WAITING, "_schedule_next_run"),
+    (CommandState.RUNNING, CommandInput.RELEASED): (CommandState.STOPPING, "_stop_command"),
+    (CommandState.RUNNING, CommandInput.OVERDUE): (CommandState.STOPPING, "_stop_command"),
+    # It runs under an older fencing token.
+    (CommandState.RUNNING, CommandInput.ACQUIRED): (CommandState.STOPPING, "_stop_command"),
+    (CommandState.STOPPING, CommandInput.ENDED): (CommandState.WAITING, "_schedule_next_run"),
+    (CommandState.DONE, CommandInput.ACQUIRED): (CommandState.WAITING, "_allow_start"),
+    (CommandState.DONE, CommandInput.RELEASED): (CommandState.WAITING, "_allow_start"),
 }
 
-AGAIN = 1.0  # s from an ask that came to nothing to the next: a committed grant takes two round trips
-RETRY = 5.0  # s to the next start of a command that ended with a fault, where `every` says no time
+
+class CommandOutcome(NamedTuple):
+    """How a command ended."""
+
+    exit_code: int | None  # or the negated number of the signal; None where it never started or is unknown
+    reason: str
+    output_tail: str  # the last of what it printed
+
+    @classmethod
+    def without_exit(cls, reason: str) -> CommandOutcome:
+        """Return the outcome of a command whose exit code is not known."""
+        return cls(None, reason, "")
+
+
+class CommandRun(NamedTuple):
+    """The last run of a task's command."""
+
+    outcome: CommandOutcome
+    duration: float  # s
+    fencing_token: int
+
+    def status(self) -> dict[str, object]:
+        """Return what `valeturn fleet status` shows; its keys must not change."""
+        return {
+            "code": self.outcome.exit_code,
+            "why": self.outcome.reason,
+            "tail": self.outcome.output_tail,
+            "took": self.duration,
+            "fence": self.fencing_token,
+        }
+
+    def log_fields(self, task: str) -> dict[str, object]:
+        """Return the fields of a log event about this run."""
+        return {
+            "task": task,
+            "exit_code": self.outcome.exit_code,
+            "reason": self.outcome.reason,
+            "output_tail": self.outcome.output_tail,
+            "duration_s": self.duration,
+            "fencing_token": self.fencing_token,
+        }
 
 
 class Propose(NamedTuple):
-    fact: tuple
+    """An effect: propose an entry for the replicated log."""
+
+    entry: tuple[object, ...]
 
 
-class Start(NamedTuple):
-    """A command, under a fence."""
+class StartCommand(NamedTuple):
+    """An effect: start a command under a fencing token."""
 
-    name: str
+    task: str
     command: str
-    fence: int
-    patience: float
+    fencing_token: int
+    grace_period: float  # s from TERM to KILL
 
 
-class Stop(NamedTuple):
-    name: str
+class StopCommand(NamedTuple):
+    """An effect: stop the command of a task."""
 
+    task: str
 
-class Told(NamedTuple):
-    """For the log: what became of a duty."""
 
-    event: str
-    fields: dict
+class LogEvent(NamedTuple):
+    """An effect: write what became of a task to the log."""
 
+    event: str
+    fields: dict[str, object]
+
+
+Effect = Propose | StartCommand | StopCommand | LogEvent
+
+
+class SingletonTask:
+    """One task. Timestamps are in seconds of the caller's clock."""
+
+    def __init__(self, name: str, options: DutyOptions, now: float) -> None:
+        self.name = name
+        self.options = options
+        self.state = TaskState.NOT_HELD
+        self.state_since = now
+        self.command_state = CommandState.WAITING
+        self.fencing_token = 0
+        self.term: int | None = None  # of the leader that the grant was committed under
+        self.requested_at = NEVER
+        self.due_at = now
+        self.started_at = now  # means nothing before the first run
+        self.run_count = 0
+        self.last_run: CommandRun | None = None
+        self.removed = False  # from the operator's file; it goes once its command has ended
+
+    def is_held(self, term: int | None) -> bool:
+        """Return whether the task is held in this term."""
+        return self.state is TaskState.HELD and self.term == term
+
+    def has_live_command(self) -> bool:
+        """Return whether processes of the command may still exist."""
+        return self.command_state in (CommandState.RUNNING, CommandState.STOPPING)
+
+    def is_overdue(self, now: float) -> bool:
+        """Return whether the command has run for longer than it may."""
+        running = self.command_state is CommandState.RUNNING
+        return running and now - self.started_at >= self.options.most
+
+    def is_due(self, now: float, term: int | None) -> bool:
+        """Return whether the command is to start."""
+        may_run = self.is_held(term) and self.options.do == "run"
+        return may_run and self.command_state is CommandState.WAITING and now >= self.due_at
+
+    def status(self, now: float) -> dict[str, object]:
+        """Return what `valeturn fleet status` shows; its keys must not change."""
+        return {
+            "state": self.state.value,
+            "for_s": round(now - self.state_since, 1),
+            "does": self.options.do,
+            "fence": self.fencing_token,
+            "run": self.command_state.value,
+            "runs": self.run_count,
+            "last": None if self.last_run is None else self.last_run.status(),
+        }
 
-class Duty:
-    def __init__(self, name, options, now):
-        self.name, self.options, self.state, self.run = name, options, IDLE, RESTING
-        self.fence, self.term, self.asked_at, self.since = 0, None, -1e9, now
-        self.due, self.started, self.last, self.runs = now, None, None, 0
-        self.removed = False
-
-    def holds(self, term):
-        return self.state == HELD and self.term == term
 
+class SingletonTasks:
+    """All singleton tasks, on one server. Each input returns the effects to carry out, in order."""
 
-class Duties:
-    def __init__(self, name, life, now):
-        self.name, self.life, self.duties, self.out = name, life, {}, []
-        self.term = None  # of this server's own leadership, while it is the owner
+    def __init__(self, server: str, incarnation: int) -> None:
+        self.server = server
+        self.incarnation = incarnation
+        self.tasks: dict[str, SingletonTask] = {}
+        self.term: int | None = None  # of this server's own leadership, while it is the leader
+        self._effects: list[Effect] = []
 
-    # ---- told
+    def configure(self, now: float, configured: Mapping[str, DutyOptions]) -> list[Effect]:
+        """Take the tasks that the operator's file has now.
 
-    def put(self, now, configured):
-        """The operator's file has these now: name -> options. A changed one is taken as it stands at its next
-        start; one that is gone is stopped and given back."""
+        Changed options hold from the next start of the command. A task that is gone is stopped and given
+        back.
+        """
         for name, options in configured.items():
-            duty = self.duties.get(name)
-            if duty is None or duty.removed:
-                self.duties[name] = Duty(name, options, now)
+            task = self.tasks.get(name)
+            if task is None or task.removed:
+                self.tasks[name] = SingletonTask(name, options, now)
             else:
-                duty.options = options
-        for name, duty in list(self.duties.items()):
-            if name not in configured and not duty.removed:
-                duty.removed = True
-                self._run(now, duty, LET_GO)
-                self._step(now, duty, REMOVED)
-        return self._taken()
-
-    def granted(self, now, term, name, fence):
-        """A grant to this server was committed in a term of its own."""
-        duty = self.duties.get(name)
-        if duty is not None and term == self.term and not duty.removed:
-            duty.fence, duty.term = fence, term
-            self._step(now, duty, GRANTED)
-        return self._taken()
-
-    def ended(self, now, name, outcome):
-        """A command and all it started are gone. outcome: {"code": ..., "why": ..., "tail": ...}."""
-        duty = self.duties.get(name)
-        if duty is not None:
-            duty.last = {
-                **outcome,
-                "took": now - (duty.started if duty.started is not None else now),
-                "fence": duty.fence,
-            }
-            self._run(now, duty, ENDED)
-        return self._taken()
-
-    def tick(self, now, term):
-        """term: of this server's leadership while it may act, else None."""
+                task.options = options
+        for name, task in list(self.tasks.items()):
+            if name not in configured and not task.removed:
+                task.removed = True
+                self._change_command(now, task, CommandInput.RELEASED)
+                self._change_task(now, task, TaskInput.REMOVED)
+        return self._take_effects()
+
+    def grant_committed(self, now: float, term: int, name: str, fencing_token: int) -> list[Effect]:
+        """Take a grant to this server that was committed in a term of its own."""
+        task = self.tasks.get(name)
+        if task is not None and term == self.term and not task.removed:
+            task.fencing_token = fencing_token
+            task.term = term
+            self._change_task(now, task, TaskInput.GRANTED)
+        return self._take_effects()
+
+    def command_ended(self, now: float, name: str, outcome: CommandOutcome) -> list[Effect]:
+        """Take the outcome of a command: it and all that it started are gone."""
+        task = self.tasks.get(name)
+        if task is not None:
+            duration = now - task.started_at if task.run_count else 0.0
+            task.last_run = CommandRun(outcome, duration, task.fencing_token)
+            self._change_command(now, task, CommandInput.ENDED)
+        return self._take_effects()
+
+    def tick(self, now: float, term: int | None) -> list[Effect]:
+        """Let time pass.
+
+        Args:
+            now: the time.
+            term: the term of this server's leadership while it may act, else None.
+        """
         if term != self.term:
             self.term = term
-            for duty in self.duties.values():
-                if duty.state != IDLE:
-                    self._step(now, duty, LOST)
-        for duty in list(self.duties.values()):
-            if duty.removed:
-                if duty.run not in (RUNNING, STOPPING):
-                    del self.duties[duty.name]
-                continue
-            if term is not None:
-                self._step(now, duty, LEADS)
-            if duty.run == RUNNING and now - duty.started >= duty.options.most:
-                self._run(now, duty, OVERDUE)
-            if duty.holds(term) and duty.options.do == "run" and duty.run == RESTING and now >= duty.due:
-                self._run(now, duty, DUE)
-        return self._taken()
-
-    # ---- the tables' effects
-
-    def _step(self, now, duty, given):
-        found = DUTY_TABLE.get((duty.state, given))
-        if found is not None:
-            before, (duty.state, effect) = duty.state, found
-            if duty.state != before:
-                duty.since = now
-            getattr(self, "do_" + effect)(now, duty)
-
-    def do_ask(self, now, duty):
-        duty.asked_at = now
-        self.out.append(Propose(("grant", duty.name, self.name, self.life)))
-
-    def do_ask_again(self, now, duty):
-        if now - duty.asked_at >= AGAIN:
-            self.do_ask(now, duty)
-
-    def do_take(self, now, duty):
-        duty.due = now
-        self.out.append(Told("duty_held", {"duty": duty.name, "fence": duty.fence, "term": duty.term}))
-        self._run(now, duty, TAKEN)
-
-    def do_let_go(self, now, duty):
-        self.out.append(Told("duty_let_go", {"duty": duty.name, "fence": duty.fence}))
-        duty.term = None
-        self._run(now, duty, LET_GO)
-
-    def do_drop(self, now, duty):
-        """Given back once its command is gone."""
-        self.do_let_go(now, duty)
-        if duty.run not in (RUNNING, STOPPING):
-            self.out.append(Propose(("drop", duty.name)))
-
-    def _run(self, now, duty, given):
-        found = RUN_TABLE.get((duty.run, given))
-        if found is not None:
-            duty.run, effect = found
-            getattr(self, "do_" + effect)(now, duty)
-
-    def do_start(self, now, duty):
-        duty.started, duty.runs = now, duty.runs + 1
-        self.out.append(Start(duty.name, duty.options.command, duty.fence, duty.options.patience))
-
-    def do_stop(self, now, duty):
-        self.out.append(Stop(duty.name))
-
-    def do_ended(self, now, duty):
-        o = duty.options
-        good = duty.last["code"] == 0
-        duty.due = max(now, duty.started + o.every) if o.every is not None else now + RETRY
-        if good and o.every is None and not duty.removed and duty.state == HELD:
-            duty.run = DONE
-        if duty.removed and self.term is not None:
-            self.out.append(Propose(("drop", duty.name)))
-        self.out.append(Told("duty_ran", {"duty": duty.name, **duty.last}))
-
-    def do_rest(self, now, duty):
-        duty.due = now
-
-    def _taken(self):
-        out, self.out = self.out, []
-        return out
-
-    def figures(self, now):
-        return {
-            name: {
-                "state": DUTY_STATES[duty.state],
-                "for_s": round(now - duty.since, 1),
-                "does": duty.options.do,
-                "fence": duty.fence,
-                "run": RUN_STATES[duty.run],
-                "runs": duty.runs,
-                "last": duty.last,
-            }
-            for name, duty in sorted(self.duties.items())
-        }
+            for task in self.tasks.values():
+                if task.state is not TaskState.NOT_HELD:
+                    self._change_task(now, task, TaskInput.LEADERSHIP_LOST)
+        for task in list(self.tasks.values()):
+            if not task.removed:
+                self._tick_task(now, task)
+            elif not task.has_live_command():
+                del self.tasks[task.name]
+        return self._take_effects()
+
+    def status(self, now: float) -> dict[str, dict[str, object]]:
+        """Return what `valeturn fleet status` shows of each task, by name."""
+        return {name: task.status(now) for name, task in sorted(self.tasks.items())}
+
+    def _tick_task(self, now: float, task: SingletonTask) -> None:
+        if self.term is not None:
+            self._change_task(now, task, TaskInput.LEADING)
+        if task.is_overdue(now):
+            self._change_command(now, task, CommandInput.OVERDUE)
+        if task.is_due(now, self.term):
+            self._change_command(now, task, CommandInput.DUE)
+
+    def _change_task(self, now: float, task: SingletonTask, task_input: TaskInput) -> None:
+        transition = TASK_TRANSITIONS.get((task.state, task_input))
+        if transition is None:
+            return
+        next_state, action = transition
+        if next_state is not task.state:
+            task.state = next_state
+            task.state_since = now
+        getattr(self, action)(now, task)
+
+    def _change_command(self, now: float, task: SingletonTask, command_input: CommandInput) -> None:
+        transition = COMMAND_TRANSITIONS.get((task.command_state, command_input))
+        if transition is None:
+            return
+        task.command_state, action = transition
+        getattr(self, action)(now, task)
+
+    def _request_grant(self, now: float, task: SingletonTask) -> None:
+        task.requested_at = now
+        self._effects.append(Propose(("grant", task.name, self.server, self.incarnation)))
+
+    def _repeat_grant_request(self, now: float, task: SingletonTask) -> None:
+        if now - task.requested_at >= GRANT_REQUEST_INTERVAL_S:
+            self._request_grant(now, task)
+
+    def _acquire(self, now: float, task: SingletonTask) -> None:
+        task.due_at = now
+        fields = {"task": task.name, "fencing_token": task.fencing_token, "term": task.term}
+        self._effects.append(LogEvent("task_acquired", fields))
+        self._change_command(now, task, CommandInput.ACQUIRED)
+
+    def _release(self, now: float, task: SingletonTask) -> None:
+        fields: dict[str, object] = {"task": task.name, "fencing_token": task.fencing_token}
+        self._effects.append(LogEvent("task_released", fields))
+        task.term = None
+        self._change_command(now, task, CommandInput.RELEASED)
+
+    def _give_back(self, now: float, task: SingletonTask) -> None:
+        self._release(now, task)
+        if not task.has_live_command():  # else once it has ended
+            self._propose_drop(task)
+
+    def _propose_drop(self, task: SingletonTask) -> None:
+        self._effects.append(Propose(("drop", task.name)))
+
+    def _start_command(self, now: float, task: SingletonTask) -> None:
+        task.started_at = now
+        task.run_count += 1
+        options = task.options
+        # Commands that run have one: see task_options.
+        command = options.command or ""
+        self._effects.append(StartCommand(task.name, command, task.fencing_token, options.patience))
+
+    def _stop_command(self, now: float, task: SingletonTask) -> None:
+        self._effects.append(StopCommand(task.name))
+
+    def _schedule_next_run(self, now: float, task: SingletonTask) -> None:
+        run = task.last_run
+        if run is None:  # an ended command always has one
+            return
+        interval = task.options.every
+        if interval is None:
+            task.due_at = now + RETRY_INTERVAL_S
+        else:
+            task.due_at = max(now, task.started_at + interval)
+        succeeded = run.outcome.exit_code == 0
+        if succeeded and interval is None and task.state is TaskState.HELD and not task.removed:
+            task.command_state = CommandState.DONE
+        if task.removed and self.term is not None:
+            self._propose_drop(task)
+        self._effects.append(LogEvent("task_command_ended", run.log_fields(task.name)))
+
+    def _allow_start(self, now: float, task: SingletonTask) -> None:
+        task.due_at = now
+
+    def _take_effects(self) -> list[Effect]:
+        effects = self._effects
+        self._effects = []
+        return effects
--- a/valeturn/cluster/task_processes.py
+++ b/valeturn/cluster/task_processes.py
@@ -1,108 +1,156 @@
-"""Commands of duties, each under its guard, which ends it with the lease also where this server can't."""
+"""Run the commands of singleton tasks, each under a guard process that ends it with the lease.
+
+The guard (process_guard.py) ends its command also where this server is stopped, slow or gone.
+"""
 
 from __future__ import annotations
 
+import contextlib
 import json
 import os
 import subprocess
 import sys
+from collections.abc import Callable, Mapping
+from typing import IO, cast
 
-from ..transport.scheduler import READ
+from ..transport.scheduler import READ, Scheduler
 from . import limits
-
-GUARD = os.path.join(os.path.dirname(__file__), "process_guard.py")
-
-
-class Run:
-    """One under way."""
-
-    def __init__(self, process, fence):
-        self.process, self.fence, self.text = process, fence, b""
-
-
-def outcome(run):
-    """{"code": exit code, or the signal's number below zero, or None; "why"; "tail"}"""
-    try:
-        said = json.loads(run.text)
-        return {"code": said["code"], "why": said["why"], "tail": said["tail"]}
-    except (ValueError, KeyError, TypeError):
-        return {"code": None, "why": f"its guard ended with {run.process.returncode}", "tail": ""}
-
-
-class Runs:
-    def __init__(self, scheduler, environment, ended):
-        """environment: what each command finds beside the server's own. ended(name, outcome): it and all that
-        it started are gone."""
-        self.scheduler, self.environment, self.ended, self.runs = scheduler, environment, ended, {}
-
-    def __bool__(self):
-        return bool(self.runs)
-
-    def start(self, name, command, fence, patience):
-        """None, or why it could not be started."""
-        environment = {**os.environ, **self.environment, "VALETURN_FENCE": str(fence), "VALETURN_DUTY": name}
+from .singleton_tasks import CommandOutcome
+
+GUARD_PROGRAM = os.path.join(os.path.dirname(__file__), "process_guard.py")
+# Bytes kept of the guard's result: its JSON line escapes a byte of output in up to 8 characters.
+RESULT_BYTES = 8 * limits.TAIL
+# Bytes read from a guard at once: what a Linux pipe holds.
+READ_BYTES = 65536
+# Seconds between checks whether a guard that has closed its output has ended: it does so at once.
+EXIT_CHECK_INTERVAL_S = 0.01
+
+
+class GuardedCommand:
+    """One running command: its guard process, its fencing token and what the guard has reported."""
+
+    def __init__(self, process: subprocess.Popen[bytes], fencing_token: int) -> None:
+        self.process = process
+        self.fencing_token = fencing_token
+        self.result = b""
+        # Both are pipes: see TaskProcesses.start.
+        self.guard_input = cast(IO[bytes], process.stdin)
+        self.guard_output = cast(IO[bytes], process.stdout)
+
+    def outcome(self) -> CommandOutcome:
+        """Return how the command ended, or that its guard ended without a readable result."""
+        try:
+            result = json.loads(self.result)
+            return CommandOutcome(result["code"], result["why"], result["tail"])
+        except (ValueError, KeyError, TypeError):
+            return CommandOutcome.without_exit(f"its guard ended with {self.process.returncode}")
+
+    def send(self, line: bytes) -> None:
+        """Send one line to the guard."""
+        # A guard that has ended, or reads nothing, ends its command by its own clock.
+        with contextlib.suppress(OSError, ValueError):
+            os.write(self.guard_input.fileno(), line)
+
+    def close_input(self) -> None:
+        """Close the guard's input, which it takes as the end of the server."""
+        with contextlib.suppress(OSError):
+            self.guard_input.close()
+
+
+class TaskProcesses:
+    """All commands that run now, by the name of their task; at most one a task."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        environment: Mapping[str, str],
+        on_end: Callable[[str, CommandOutcome], None],
+    ) -> None:
+        """Create it without any command.
+
+        Args:
+            scheduler: runs the tasks that follow the guards.
+            environment: variables that each command has besides the server's own.
+            on_end: called with a task's name once its command and all that it started are gone.
+        """
+        self.scheduler = scheduler
+        self.environment = environment
+        self.on_end = on_end
+        self.running: dict[str, GuardedCommand] = {}
+
+    def start(
+        self, name: str, command: str, fencing_token: int, grace_period: float
+    ) -> CommandOutcome | None:
+        """Start a command, and return its outcome only where it could not be started.
+
+        Args:
+            name: the task that the command belongs to.
+            command: the text for the shell.
+            fencing_token: what the command finds in VALETURN_FENCE.
+            grace_period: seconds from TERM to KILL.
+        """
+        environment = {
+            **os.environ,
+            **self.environment,
+            "VALETURN_FENCE": str(fencing_token),
+            "VALETURN_DUTY": name,
+        }
         try:
             process = subprocess.Popen(
-                [sys.executable, "-I", "-S", GUARD, str(patience), command],
+                [sys.executable, "-I", "-S", GUARD_PROGRAM, str(grace_period), command],
                 env=environment,
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
                 stderr=subprocess.DEVNULL,
             )
         except OSError as error:
-            return str(error)
-        os.set_blocking(process.stdin.fileno(), False)
-        os.set_blocking(process.stdout.fileno(), False)
-        self.runs[name] = run = Run(process, fence)
-        self.scheduler.spawn(self.follow, name, run, name="duty")
+            return CommandOutcome.without_exit(str(error))
+        guarded = GuardedCommand(process, fencing_token)
+        os.set_blocking(guarded.guard_input.fileno(), False)
+        os.set_blocking(guarded.guard_output.fileno(), False)
+        self.running[name] = guarded
+        self.scheduler.spawn(self._follow, name, guarded, name="singleton task")
         return None
 
-    def follow(self, name, run):
-        """Until its guard has ended: by then the command and all that it started are gone."""
-        out = run.process.stdout
+    def extend_leases(self, fencing_token_of: Callable[[str], int | None], lease_end: float) -> None:
+        """Announce the end of the lease to each guard, in seconds of the boot clock.
+
+        A command under an older fencing token than its task has now is left out, so that its guard ends it
+        when the lease that was announced last is over.
+        """
+        for name, guarded in self.running.items():
+            if fencing_token_of(name) == guarded.fencing_token:
+                guarded.send(b"until %.6f\n" % lease_end)
+
+    def stop(self, name: str) -> None:
+        """Ask the guard of a task's command, if one runs, to end it."""
+        if name in self.running:
+            self.running[name].send(b"stop\n")
+
+    def close_all(self) -> None:
+        """End all commands at once."""
+        for guarded in self.running.values():
+            guarded.close_input()
+
+    def _follow(self, name: str, guarded: GuardedCommand) -> None:
+        """Wait until a guard has ended: by then the command and all that it started are gone."""
+        self._read_result(guarded)
+        guarded.close_input()
+        while guarded.process.poll() is None:
+            self.scheduler.sleep(EXIT_CHECK_INTERVAL_S)
+        del self.running[name]
+        self.on_end(name, guarded.outcome())
+
+    def _read_result(self, guarded: GuardedCommand) -> None:
+        output = guarded.guard_output
         while True:
-            self.scheduler.wait_fd(out.fileno(), READ)
+            self.scheduler.wait_fd(output.fileno(), READ)
             try:
-                data = os.read(out.fileno(), 65536)
+                data = os.read(output.fileno(), READ_BYTES)
             except BlockingIOError:
                 continue
             if not data:
                 break
-            run.text = (run.text + data)[-8 * limits.TAIL :]  # the tail as JSON writes it
-        self.scheduler.closing(out.fileno())
-        out.close()
-        self.close(run)
-        while run.process.poll() is None:
-            self.scheduler.sleep(0.01)
-        del self.runs[name]
-        self.ended(name, outcome(run))
-
-    def lease(self, acts, until):
-        """Tells each guard how long the lease lasts, in s of the boot clock. One whose command is under an
-        older number hears nothing more, and so ends it in time. acts(name) -> fence or None."""
-        for name, run in self.runs.items():
-            if acts(name) == run.fence:
-                self.tell(run, b"until %.6f\n" % until)
-
-    def stop(self, name):
-        if name in self.runs:
-            self.tell(self.runs[name], b"stop\n")
-
-    @staticmethod
-    def tell(run, line):
-        try:
-            os.write(run.process.stdin.fileno(), line)
-        except (OSError, ValueError):  # it has ended, or reads nothing: its own clock ends it
-            pass
-
-    @staticmethod
-    def close(run):
-        """The end of the server, as a guard sees it."""
-        try:
-            run.process.stdin.close()
-        except OSError:
-            pass
-
-    def close_all(self):
-        for run in self.runs.values():
-            self.close(run)
+            guarded.result = (guarded.result + data)[-RESULT_BYTES:]
+        self.scheduler.closing(output.fileno())
+        output.close()
--- a/valeturn/lab/fault_injection/virtual.py
+++ b/valeturn/lab/fault_injection/virtual.py
@@ -72,7 +72,7 @@
                 links=lambda *words: VirtualLinks(self.net, *words),
             ),
         )
-        self.fleet.duties.put(self.clock(), {"calls": self.net.duty})
+        self.fleet.singleton_tasks.configure(self.clock(), {"calls": self.net.duty})
         self.fleet.share_calls("calls", self.net.duty, lambda: self.need)
         self.net.at(TICK * self.net.chance.share(), self.tick, self.fleet)
 
--- a/valeturn/maintenance/coordinator.py
+++ b/valeturn/maintenance/coordinator.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from ..cluster.membership import ALIVE, SUSPECTED
-from ..cluster.task_processes import Runs
+from ..cluster.task_processes import TaskProcesses
 from . import local_drain as pl
 from .drain_schedule import DRAINING, EMPTY, STATES, WAITING, Order, Row, View, read_row, seen
 
@@ -38,7 +38,7 @@
         self.read_from, self.read_rows = (), []
         self.again = False  # once it has ended it is to be started anew, in place
         self.hook_ended, self.returned_told = True, False
-        self.runs = Runs(fleet.scheduler, fleet.runs.environment, self.hook_over)
+        self.runs = TaskProcesses(fleet.scheduler, fleet.task_processes.environment, self.hook_over)
         fleet.others.append(self)
 
     def rows(self):
@@ -164,15 +164,15 @@
 
     def hook(self, command, fence):
         self.hook_ended = False
-        why = self.runs.start(HOOK, command, fence, 1.0)
-        if why is not None:
-            self.hook_over(HOOK, {"code": None, "why": why, "tail": ""})
+        failure = self.runs.start(HOOK, command, fence, 1.0)
+        if failure is not None:
+            self.hook_over(HOOK, failure)
         now = self.fleet.seams.to_boot(self.fleet.clock())
-        self.runs.lease(lambda name: fence, now + self.options.work)
+        self.runs.extend_leases(lambda name: fence, now + self.options.work)
 
     def hook_over(self, name, outcome):
         self.hook_ended = True
-        self.log("turn_hook", outcome)
+        self.log("turn_hook", outcome._asdict())
 
     def noticed(self):
         """The platform's notice goes first, whatever the turn."""
