--- a/valeturn/cluster/call_quota.py
+++ b/valeturn/cluster/call_quota.py
@@ -1,76 +1,166 @@
-"""This server's share of the dependency's calls, and the split of them all while it is the owner."""
+"""This server's quota of calls on the shared dependency, and the split of their limit on the leader."""
 
 from __future__ import annotations
 
-from . import quota
-
-
-class Calls:
-    def __init__(self, fleet, name, options, need):
-        """fleet: clock, acts, facts, send, fences, count, log and its options are used. need(): calls out
-        that this server could use now."""
-        self.fleet, self.name, self.options, self.need = fleet, name, options, need
-        f = fleet.options
-        # A few rounds, so that one may be lost, and what the loss of an owner takes mostly.
-        self.lasts = max(4 * options.round, 2 * f.lease)
-        self.holder = quota.Holder(fleet.clock(), options.cap / f.largest, self.lasts)
-        self.splitter, self.ask_at = None, 0.0
-
-    def usable(self):
-        """Calls out that this server may have now, of all."""
-        return self.holder.usable(self.fleet.clock())
-
-    def tick(self, now):
-        if now >= self.ask_at:
-            self.ask_at = now + self.options.round * (0.8 + 0.4 * self.fleet.chance.share())
-            fields = self.holder.ask(now, self.need())
-            _, facts, owner = self.fleet.facts()
-            row = facts.duty(self.name)
-            owner = row[1] if row is not None else owner
-            if owner == self.fleet.name:
-                self.on_need(now, owner, *fields)
-            elif owner is not None:
-                self.fleet.send(owner, "need", fields)
-
-    def on_need(self, now, sender, need, stamp, holding):
-        """A server asks; nothing is said by one that is not, or no more, the owner."""
-        fence = self.fleet.acts(self.name)
-        if fence is None:
-            self.splitter = None
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any, Protocol
+
+from .fencing import FencingTokens
+from .quota import GrantId, QuotaAllocator, QuotaClient, QuotaGrant, QuotaRequest
+from .task_options import DutyOptions
+
+# Kinds of the messages between servers; their bytes must not change.
+REQUEST_MESSAGE = "need"
+GRANT_MESSAGE = "share"
+# Counters, which are keys of the status too and must not change.
+ACCEPTED_COUNTER = "fleet.shares.taken"
+STALE_COUNTER = "fleet.shares.stale"
+# Requests in the duration of a grant: a few, so that one may be lost.
+REQUESTS_PER_GRANT = 4
+# Leases in the duration of a grant: what the loss of a leader takes mostly.
+LEASES_PER_GRANT = 2
+# Requests are spread over this fraction of their interval to both sides, so that servers do not send at once.
+JITTER = 0.2
+# A change by more than this fraction of the quota is logged.
+LOGGED_CHANGE = 0.1
+
+
+class ClusterNode(Protocol):
+    """What the quota uses of this server's cluster node."""
+
+    name: str
+    options: Any
+    chance: Any
+    fencing_tokens: FencingTokens
+    clock: Callable[[], float]
+
+    def acts(self, name: str) -> int | None:
+        """Return the fencing token under which this server may act for a singleton task now."""
+
+    def facts(self) -> tuple[Any, Any, str | None]:
+        """Return the term, the replicated state and the leader as far as they are known here."""
+
+    def send(self, name: str, kind: str, fields: list[Any]) -> None:
+        """Send a message to another server."""
+
+    def on_share(self, now: float, sender: str, said: list[Any]) -> None:
+        """Receive a grant."""
+
+    def count(self, name: str) -> None:
+        """Add one to a counter."""
+
+    def log(self, event: str, fields: Mapping[str, object]) -> None:
+        """Write an event to the log."""
+
+
+class CallQuota:
+    """Both sides of the split of the calls on one server. Timestamps are in seconds of the node's clock."""
+
+    def __init__(self, node: ClusterNode, name: str, options: DutyOptions, need: Callable[[], float]) -> None:
+        """Take part in the split.
+
+        Args:
+            node: this server's cluster node.
+            name: the singleton task that splits the calls.
+            options: its options; they have a limit.
+            need: returns how many calls this server could use now.
+        """
+        self.node = node
+        self.name = name
+        self.options = options
+        self.need = need
+        self.limit = options.cap or 0  # the options are checked to have one: see task_options
+        self.max_servers = node.options.largest
+        self.grant_duration = max(REQUESTS_PER_GRANT * options.round, LEASES_PER_GRANT * node.options.lease)
+        self.client = QuotaClient(node.clock(), self.limit / self.max_servers, self.grant_duration)
+        self.allocator: QuotaAllocator | None = None  # while this server is the leader
+        self.next_request_at = 0.0
+
+    def available(self) -> float:
+        """Return how many calls this server may have out now."""
+        return self.client.available(self.node.clock())
+
+    def tick(self, now: float) -> None:
+        """Send a request to the leader when the next one is due."""
+        if now < self.next_request_at:
+            return
+        spread = 1 - JITTER + 2 * JITTER * self.node.chance.share()
+        self.next_request_at = now + self.options.round * spread
+        need, sent_at, current_grant = self.client.request(now, self.need())
+        leader = self._lease_holder()
+        if leader == self.node.name:
+            self.on_request(now, leader, need, sent_at, current_grant)
+        elif leader is not None:
+            self.node.send(leader, REQUEST_MESSAGE, [need, sent_at, list(current_grant)])
+
+    def on_request(
+        self, now: float, sender: str, need: float, sent_at: float, current_grant: Sequence[int]
+    ) -> None:
+        """Answer a request; a server that is not the leader, or not any more, sends nothing.
+
+        Raises:
+            TypeError, ValueError, IndexError: a field of the message is not what it should be.
+        """
+        token = self.node.acts(self.name)
+        if token is None:
+            self.allocator = None
             return
-        if self.splitter is None or self.splitter.fence != fence:
-            o = self.options
-            self.splitter = quota.Splitter(now, fence, o.cap, self.fleet.options.largest, self.lasts)
-        held = int(holding[0]), int(holding[1])
-        grant = self.splitter.asked(now, sender, float(need), float(stamp), held)
-        if grant is None or self.fleet.acts(self.name) != fence:
+        if self.allocator is None or self.allocator.fencing_token != token:
+            self.allocator = QuotaAllocator(now, token, self.limit, self.max_servers, self.grant_duration)
+        # The fields come from another server unchecked: the conversions raise where one is wrong.
+        confirmed = GrantId(int(current_grant[0]), int(current_grant[1]))
+        request = QuotaRequest(float(need), float(sent_at), confirmed)
+        grant = self.allocator.handle_request(now, sender, request)
+        if grant is None or self.node.acts(self.name) != token:
             return
-        if sender == self.fleet.name:
-            self.fleet.on_share(now, sender, list(grant))
+        if sender == self.node.name:
+            self.node.on_share(now, sender, list(grant))
         else:
-            self.fleet.send(sender, "share", [list(grant)])
-
-    def on_share(self, now, sender, said):
-        fence, number, *amounts = said
-        grant = quota.Grant(int(fence), int(number), *map(float, amounts))
-        holder, stale, before = self.holder, self.holder.stale, self.holder.usable(now)
-        if holder.granted(now, grant):
-            self.fleet.fencing_tokens.accept(self.name, grant.fence)
-            self.fleet.count("fleet.shares.taken")
-            if abs(holder.amount - before) > 0.1 * before:
-                self.fleet.log(
-                    "fleet_share",
-                    {"calls": holder.amount, "from": quota.SOURCES[holder.source], "fence": grant.fence},
-                )
-        elif holder.stale > stale:
-            self.fleet.count("fleet.shares.stale")
-
-    def figures(self, now):
+            self.node.send(sender, GRANT_MESSAGE, [list(grant)])
+
+    def on_grant(self, now: float, sender: str, fields: list[Any]) -> None:
+        """Receive a grant.
+
+        Raises:
+            TypeError, ValueError: a field of the message is not what it should be.
+        """
+        token, number, *rest = fields
+        grant = QuotaGrant(int(token), int(number), *map(float, rest))
+        stale_before = self.client.stale_count
+        amount_before = self.client.available(now)
+        if self.client.accept(now, grant):
+            self.node.fencing_tokens.accept(self.name, grant.fencing_token)
+            self.node.count(ACCEPTED_COUNTER)
+            if abs(self.client.amount - amount_before) > LOGGED_CHANGE * amount_before:
+                self._log_change(grant.fencing_token)
+        elif self.client.stale_count > stale_before:
+            self.node.count(STALE_COUNTER)
+
+    def status(self, now: float) -> dict[str, object]:
+        """Return what `valeturn fleet status` shows of the quota; its keys must not change."""
         return {
-            "calls": self.holder.usable(now),
-            "from": quota.SOURCES[self.holder.source],
-            "stale": self.holder.stale,
+            "calls": self.client.available(now),
+            "from": self.client.source.value,
+            "stale": self.client.stale_count,
         }
 
-    def split_figures(self, now):
-        return None if self.splitter is None else self.splitter.figures(now)
+    def allocator_status(self, now: float) -> dict[str, object] | None:
+        """Return what `valeturn fleet status` shows of the split, or None on a server that does not lead."""
+        return None if self.allocator is None else self.allocator.status(now)
+
+    def _lease_holder(self) -> str | None:
+        """Return the server that splits the limit, as far as it is known here, or else the leader."""
+        _, replicated_state, leader = self.node.facts()
+        task = replicated_state.duty(self.name)
+        if task is None:
+            return leader
+        holder: str = task[1]
+        return holder
+
+    def _log_change(self, fencing_token: int) -> None:
+        fields = {
+            "calls": self.client.amount,
+            "source": self.client.source.value,
+            "fencing_token": fencing_token,
+        }
+        self.node.log("quota_changed", fields)
--- a/valeturn/cluster/node.py
+++ b/valeturn/cluster/node.py
@@ -15,7 +15,7 @@
 from ..transport.worker_thread import Helper
 from . import limits, singleton_tasks, task_processes, vote_file
 from .bootstrap import Founding
-from .call_quota import Calls
+from .call_quota import GRANT_MESSAGE, REQUEST_MESSAGE, CallQuota
 from .fencing import FencingTokens
 from .membership import ALIVE, LEFT, STATES, SUSPECTED, Membership
 from .peer_connections import Links
@@ -82,7 +82,7 @@
         self.singleton_tasks = singleton_tasks.SingletonTasks(name, self.vote_life)
         self.fencing_tokens = FencingTokens()
         self.others = []  # subsystems on top: kinds, tick(now, term), each with messages of its own
-        self.calls = None  # its share of them, where a duty splits them
+        self.call_quota = None  # its share of them, where a duty splits them
         environment = {"VALETURN_SERVER": name, "VALETURN_FLEET": options.name}
         self.task_processes = task_processes.TaskProcesses(scheduler, environment, self.run_ended)
         self.wanted = {}  # name -> life of those that would vote
@@ -140,8 +140,8 @@
             self.admit(now)
         self.carry_duties(self.singleton_tasks.tick(now, term))
         self.tell_guards()
-        if self.calls is not None:
-            self.calls.tick(now)
+        if self.call_quota is not None:
+            self.call_quota.tick(now)
         for other in self.others:
             other.tick(now, term)
         if self.leaving and term is not None and self.handing is None:  # elected again meanwhile
@@ -379,7 +379,9 @@
 
     def vote_anew(self):
         """In a life that has never voted."""
-        self.vote_life = self.singleton_tasks.incarnation = max(int(1000 * self.seams.wall()), self.vote_life + 1)
+        self.vote_life = self.singleton_tasks.incarnation = max(
+            int(1000 * self.seams.wall()), self.vote_life + 1
+        )
 
     def make_owner(self, **how):
         return Owner(self.name, self.vote_life, self.options.lease, self.chance, self.clock(), **how)
@@ -388,17 +390,17 @@
 
     def share_calls(self, name, options, need):
         """This server takes part in the split of the calls; need(): calls out that it could use now."""
-        self.calls = Calls(self, name, options, need)
+        self.call_quota = CallQuota(self, name, options, need)
 
     def on_need(self, now, sender, *fields):
-        if self.calls is not None:
-            self.calls.on_need(now, sender, *fields)
+        if self.call_quota is not None:
+            self.call_quota.on_request(now, sender, *fields)
 
     def on_share(self, now, sender, said):
-        if self.calls is not None:
-            self.calls.on_share(now, sender, said)
+        if self.call_quota is not None:
+            self.call_quota.on_grant(now, sender, said)
 
-    KINDS = {"blank": on_blank, "facts": on_facts, "need": on_need, "share": on_share}
+    KINDS = {"blank": on_blank, "facts": on_facts, REQUEST_MESSAGE: on_need, GRANT_MESSAGE: on_share}
 
     # ---- duties
 
@@ -506,7 +508,9 @@
         ):
             return f"there is an owner: {self.owner.leader}"
         _, facts, _ = self.facts()
-        floor = (self.epoch(max([facts.fence, *self.fencing_tokens.highest_seen.values()])) + 1) << limits.EPOCH
+        floor = (
+            self.epoch(max([facts.fence, *self.fencing_tokens.highest_seen.values()])) + 1
+        ) << limits.EPOCH
         self.vote_anew()
         self.founding = None
         voters = ((self.name, self.vote_life),)
@@ -551,8 +555,8 @@
             ],
             "duties": self.singleton_tasks.status(now),
             "owners": [{"duty": duty, "owner": one, "fence": fence} for duty, one, _, fence in facts.duties],
-            "share": None if self.calls is None else self.calls.figures(now),
-            "split": self.calls.split_figures(now) if self.calls is not None and leads else None,
+            "share": None if self.call_quota is None else self.call_quota.status(now),
+            "split": self.call_quota.allocator_status(now) if self.call_quota is not None and leads else None,
             "links": len(self.links.links),
             "elections": self.elections,
         }
@@ -571,7 +575,7 @@
             "doubt": self.membership.doubt,
             "elections": self.elections,
             "fence_refused": self.fencing_tokens.rejected_count,
-            "share": -1 if self.calls is None else self.calls.usable(),
+            "share": -1 if self.call_quota is None else self.call_quota.available(),
         }
 
     # ---- the end
--- a/valeturn/cluster/quota.py
+++ b/valeturn/cluster/quota.py
@@ -1,204 +1,357 @@
-"""The dependency's cap, split among servers so that the sum of what may be used never passes it. No I/O.
+"""Split the concurrency limit of a shared dependency among servers, never exceeding it in sum. No I/O.
 
-Each server is sure of an even share: the cap over the largest number of servers that there may ever be. What
-one needs less is lent to those that need more, for a time. Two promises keep the sum under the cap through
-any loss, delay, pause and change of owner:
+Each server has a guaranteed quota: the limit over the largest number of servers that there may ever be. What
+one server needs less is lent to those that need more, for a limited time. Two rules keep the sum below the
+limit through any loss, delay, pause and change of leader:
 
-- *Less* binds the server from when it reads it, for twice the time that it is told, by its own clock; the
-  owner counts on it only once the server has said that it holds it, and only so long from when it was sent.
-- *More* counts from when the server asked, by its own clock, which is before the owner decided: a grant that
-  comes late is over by then. A new owner gives no more until all that an earlier one may have lent is over.
+- *Reduced* quota binds the server from when it reads the grant, for twice the grant's duration by its own
+  clock. The leader counts on it only once the server has confirmed it, and only that long from when the grant
+  was sent.
+- *Borrowed* quota counts from when the server sent its request, by its own clock, which is before the leader
+  decided: a grant that arrives late has expired by then. A new leader lends nothing until all that an earlier
+  one may have lent has expired.
 
-A server that has just started may have promised less in an earlier life: it uses a part that is never lent,
-until that promise is over. Fences: a server takes nothing of an owner lower than the highest it has heard.
+A server that has just started may have accepted a reduced quota in an earlier incarnation: it uses a fraction
+that is never lent until that grant has expired. Fencing: a server accepts no grant of a leader with a lower
+token than the highest one it has seen.
+
+All timestamps are in seconds of the local clock, amounts in concurrent calls.
 """
 
 from __future__ import annotations
 
 import math
 from collections import deque
+from enum import Enum
 from typing import NamedTuple
 
 from .raft import DRIFT
 
-NEVER_LENT = 0.25  # of the sure share: what a server that has just started, or needs nothing, may always use
-MARGIN = 1.25  # of what is needed: need rises by a quarter within a round at most where load is steady
-FRESH = 3.0  # terms after which a server that asked no more counts as unknown
-STAMPS = 8  # asks whose answers are still taken
-OUTSTANDING = 8  # grants to a server that may all still be on their way; it asks again when some are over
+# Fraction of the guaranteed quota that is never lent: what a server that has just started, or needs nothing,
+# may always use.
+NEVER_LENT = 0.25
+# Target quota over what is needed: need rises by a quarter between requests at most where load is steady.
+TARGET_MARGIN = 1.25
+# Grant durations after which a server that sent no request counts as unknown.
+UNKNOWN_AFTER = 3.0
+# Requests whose grants are still accepted.
+REMEMBERED_REQUESTS = 8
+# Grants to one server that may all be on their way; the next request is answered when some have expired.
+MAX_OUTSTANDING = 8
+# Targets are computed this many times in the duration of a grant.
+TARGETS_PER_DURATION = 8
 
-# Where a server's own share comes from.
-STARTING, SURE, LESS, MORE = range(4)
-SOURCES = ("starting", "sure", "less", "more")
 
+class QuotaSource(Enum):
+    """Where a server's own quota comes from. The values are shown by `valeturn fleet status`."""
 
-class Grant(NamedTuple):
-    fence: int
-    number: int  # rises with each grant of an owner
-    amount: float  # calls out
-    stamp: float  # the server's own clock, as it said when it asked
-    lasts: float  # s
+    STARTING = "starting"
+    GUARANTEED = "sure"
+    REDUCED = "less"
+    BORROWED = "more"
 
 
-class Holder:
-    """A server's side: what it may use now."""
+class GrantId(NamedTuple):
+    """Identifies a grant; a later one compares greater."""
 
-    def __init__(self, now, sure, lasts):
-        """sure: its even share, calls out. lasts: s, the longest grant there is, the same everywhere."""
-        self.sure, self.lasts, self.fence, self.number = sure, lasts, 0, 0
-        self.source, self.amount, self.until = STARTING, NEVER_LENT * sure, now + less_time(lasts)
-        self.stamps, self.stale = deque(maxlen=STAMPS), 0
+    fencing_token: int
+    number: int
 
-    def usable(self, now):
-        """Calls out that this server may have now; to be asked before each use."""
-        if self.source != SURE and now >= self.until:
-            self.source, self.amount, self.until = SURE, self.sure, math.inf
-        return self.amount
 
-    def ask(self, now, need):
-        """What to send to the owner: need, this clock, and the grant that it goes by."""
-        self.usable(now)
-        self.stamps.append(now)
-        return [float(need), now, [self.fence, self.number]]
+NO_GRANT = GrantId(0, 0)
 
-    def granted(self, now, grant):
-        """False where it is of an owner that was followed by another, or older than what is held."""
-        if not math.isfinite(grant.amount) or grant.amount < 0 or not 0 < grant.lasts <= self.lasts:
-            return False
-        if grant.fence < self.fence:
-            self.stale += 1
-            return False
-        if (grant.fence, grant.number) <= (self.fence, self.number) or grant.stamp not in self.stamps:
-            return False
-        if now >= grant.stamp + grant.lasts:
-            return False  # it was on its way for too long: as if it had never come
-        self.usable(now)
-        if grant.amount > self.sure:
-            self.source, self.amount, self.until = MORE, grant.amount, grant.stamp + grant.lasts
-        elif grant.amount < self.sure:
-            self.source, self.amount, self.until = LESS, grant.amount, now + less_time(grant.lasts)
-        else:
-            self.source, self.amount, self.until = SURE, self.sure, math.inf
-        self.fence, self.number = grant.fence, grant.number
-        return True
+
+class QuotaRequest(NamedTuple):
+    """What a server sends to the leader."""
+
+    need: float
+    sent_at: float  # by the server's own clock; echoed in the grant
+    current_grant: GrantId  # the one that the server goes by, which confirms it
 
 
-def less_time(lasts):
-    """s of its own clock that a server keeps a promise of less: at least twice `lasts` by any clock."""
-    return 2 * lasts * (1 + DRIFT)
+class QuotaGrant(NamedTuple):
+    """What the leader answers."""
 
+    fencing_token: int
+    number: int  # rises with each grant of a leader
+    amount: float
+    request_sent_at: float  # by the server's own clock, as in its request
+    duration: float  # s
 
-class Place:
-    """What the owner knows of one server."""
+    def is_valid(self, longest: float) -> bool:
+        """Return whether the amount and the duration are in range."""
+        return math.isfinite(self.amount) and self.amount >= 0 and 0 < self.duration <= longest
 
-    __slots__ = ("asked", "held", "need", "not_before", "sent", "until")
 
-    def __init__(self, now):
-        self.need, self.asked = 0.0, now
-        # Less that it said it holds, or None where it may use its sure share; how long that is counted on.
-        self.held, self.until = None, 0.0
-        self.not_before = 0  # number of a grant after which it may have come back to its sure share
-        self.sent = []  # [number, amount, sent at] of those that it may go by, or come to
+def reduced_duration(duration: float) -> float:
+    """Return the seconds of its own clock that a server keeps to a reduced quota.
 
+    At least twice the grant's duration by any clock.
+    """
+    return 2 * duration * (1 + DRIFT)
 
-class Splitter:
-    """The owner's side, from when it became it."""
 
-    def __init__(self, now, fence, cap, largest, lasts):
-        self.fence, self.cap, self.largest, self.lasts = fence, cap, largest, lasts
-        self.sure, self.number, self.places = cap / largest, 0, {}
-        self.more_from = now + lasts * (1 + DRIFT)  # until then grants of an earlier owner may still hold
-        self.targets, self.split_at = {}, -math.inf
+class QuotaClient:
+    """A server's side: what it may use now."""
+
+    def __init__(self, now: float, guaranteed: float, grant_duration: float) -> None:
+        """Start with the quota that is never lent.
+
+        Args:
+            now: the time.
+            guaranteed: the server's even part of the limit.
+            grant_duration: seconds of the longest grant; the same on all servers.
+        """
+        self.guaranteed = guaranteed
+        self.grant_duration = grant_duration
+        self.current_grant = NO_GRANT
+        self.source = QuotaSource.STARTING
+        self.amount = NEVER_LENT * guaranteed
+        self.valid_until = now + reduced_duration(grant_duration)
+        self.request_times: deque[float] = deque(maxlen=REMEMBERED_REQUESTS)
+        self.stale_count = 0
+
+    def available(self, now: float) -> float:
+        """Return how many calls may be out now; to be asked before each use."""
+        # The guaranteed quota is valid for ever. Its source is not looked at: this is asked for each call.
+        if now >= self.valid_until:
+            self._use(QuotaSource.GUARANTEED, self.guaranteed, math.inf)
+        return self.amount
 
-    def asked(self, now, name, need, stamp, holding):
-        """A Grant, or None: nothing can be said now, and the server goes on by what it has. So it is until
-        all that an earlier owner lent is over: to give even the sure share back would take it from who
-        borrowed it."""
-        place = self.places.get(name)
-        if place is None:
-            if len(self.places) >= self.largest:
-                self._forget(now)
-            if len(self.places) >= self.largest:
-                return None
-            place = self.places[name] = Place(now)
-        place.need, place.asked = max(0.0, need), now
-        self._holds(now, place, holding)
-        if len(place.sent) >= OUTSTANDING or now < self.more_from:
+    def request(self, now: float, need: float) -> QuotaRequest:
+        """Return the request to send to the leader."""
+        self.available(now)
+        self.request_times.append(now)
+        return QuotaRequest(float(need), now, self.current_grant)
+
+    def accept(self, now: float, grant: QuotaGrant) -> bool:
+        """Take a grant and return whether it holds.
+
+        A grant of a leader that was followed by another is rejected, and one that is older than the current
+        one, that answers no remembered request, or that was on its way for its whole duration.
+        """
+        if not grant.is_valid(self.grant_duration):
+            return False
+        if grant.fencing_token < self.current_grant.fencing_token:
+            self.stale_count += 1
+            return False
+        grant_id = GrantId(grant.fencing_token, grant.number)
+        if grant_id <= self.current_grant or grant.request_sent_at not in self.request_times:
+            return False
+        if now >= grant.request_sent_at + grant.duration:
+            return False
+        if grant.amount > self.guaranteed:
+            self._use(QuotaSource.BORROWED, grant.amount, grant.request_sent_at + grant.duration)
+        elif grant.amount < self.guaranteed:
+            self._use(QuotaSource.REDUCED, grant.amount, now + reduced_duration(grant.duration))
+        else:
+            self._use(QuotaSource.GUARANTEED, self.guaranteed, math.inf)
+        self.current_grant = grant_id
+        return True
+
+    def _use(self, source: QuotaSource, amount: float, valid_until: float) -> None:
+        self.source = source
+        self.amount = amount
+        self.valid_until = valid_until
+
+
+class SentGrant(NamedTuple):
+    """A grant that a server may go by, or come to go by."""
+
+    number: int
+    amount: float
+    sent_at: float
+
+
+class ServerQuota:
+    """What the leader knows of one server."""
+
+    __slots__ = (
+        "confirmed_amount",
+        "confirmed_until",
+        "need",
+        "reduced_after",
+        "requested_at",
+        "sent",
+    )
+
+    def __init__(self, now: float) -> None:
+        self.need = 0.0
+        self.requested_at = now
+        # The reduced quota that the server confirmed, or None where it may use its guaranteed one.
+        self.confirmed_amount: float | None = None
+        self.confirmed_until = 0.0
+        # Only a reduced grant with a higher number counts: after this one the server may have come back to
+        # its guaranteed quota.
+        self.reduced_after = 0
+        self.sent: list[SentGrant] = []
+
+    def forget_reduction(self, reduced_after: int) -> None:
+        """Assume the guaranteed quota until a grant with a higher number is confirmed."""
+        self.confirmed_amount = None
+        self.reduced_after = reduced_after
+
+
+class QuotaAllocator:
+    """The leader's side, from the start of its term."""
+
+    def __init__(
+        self, now: float, fencing_token: int, limit: float, max_servers: int, grant_duration: float
+    ) -> None:
+        """Start without knowing any server.
+
+        Args:
+            now: the time.
+            fencing_token: the token of the singleton task under which the limit is split.
+            limit: calls that may be out on all servers together.
+            max_servers: the most servers that there may ever be.
+            grant_duration: seconds of each grant.
+        """
+        self.fencing_token = fencing_token
+        self.limit = limit
+        self.max_servers = max_servers
+        self.grant_duration = grant_duration
+        self.guaranteed = limit / max_servers
+        self.number = 0
+        self.servers: dict[str, ServerQuota] = {}
+        # Until then grants of an earlier leader may still hold.
+        self.lending_from = now + grant_duration * (1 + DRIFT)
+        self.targets: dict[str, float] = {}
+        self.targets_computed_at = -math.inf
+
+    def handle_request(self, now: float, name: str, request: QuotaRequest) -> QuotaGrant | None:
+        """Return a grant, or None where none is possible now and the server goes on by what it has.
+
+        None is also the answer until all that an earlier leader lent has expired: even to give the guaranteed
+        quota back would take it from the server that borrowed it.
+        """
+        server = self._server(now, name)
+        if server is None:
             return None
-        amount = self._amount(now, name, place)
+        server.need = max(0.0, request.need)
+        server.requested_at = now
+        self._confirm(server, request.current_grant)
+        self._expire(now, server)
+        if len(server.sent) >= MAX_OUTSTANDING or now < self.lending_from:
+            return None
+        amount = self._amount(now, name, server)
         self.number += 1
-        place.sent.append([self.number, amount, now])
-        return Grant(self.fence, self.number, amount, stamp, self.lasts)
-
-    def _holds(self, now, place, holding):
-        """holding: (fence, number) that the server goes by. Of an earlier owner, or none, tells nothing: it
-        may use its sure share."""
-        fence, number = holding
-        row = next((row for row in place.sent if row[0] == number), None) if fence == self.fence else None
-        if row is not None:
-            place.sent = [one for one in place.sent if one[0] >= number]
-            if row[1] >= self.sure:
-                place.held = None
-            elif number > place.not_before:
-                place.held, place.until = row[1], row[2] + 2 * self.lasts
-                place.sent.remove(row)
-        for one in [one for one in place.sent if now >= self._over(one)]:
-            place.sent.remove(one)
-            # It can't be read any more. If it was, it may be gone by without a word, and then be over.
-            place.held, place.not_before = None, max(place.not_before, one[0])
-
-    def _over(self, row):
-        """When a grant can't be taken any more, and more that was taken is over, by this clock."""
-        return row[2] + self.lasts * (1 + DRIFT)
-
-    def most(self, now, name):
-        """The most that a server may use at any moment of the next `lasts`."""
-        place = self.places.get(name)
-        if place is None:
-            return self.sure
-        counted = place.held is not None and place.until >= now + self.lasts * (1 + DRIFT)
-        most = place.held if counted else self.sure
-        for _, amount, _ in (row for row in place.sent if now < self._over(row)):
-            most = max(most, amount)
-        return most
-
-    def committed(self, now):
-        """The most that all servers together may use in the next `lasts`, those that are not known too."""
-        return sum(self.most(now, name) for name in self.places) + self.sure * (
-            self.largest - len(self.places)
-        )
-
-    def _amount(self, now, name, place):
-        wants = self._targets(now).get(name, self.sure)
-        amount = min(wants, self.cap - self.committed(now) + self.most(now, name))
-        if amount >= self.sure:  # from here on it may fall back to its sure share at any time
-            place.held, place.not_before = None, self.number + 1
+        server.sent.append(SentGrant(self.number, amount, now))
+        return QuotaGrant(self.fencing_token, self.number, amount, request.sent_at, self.grant_duration)
+
+    def upper_limit(self, now: float, name: str) -> float:
+        """Return the most that a server may use at any time within the next grant duration."""
+        server = self.servers.get(name)
+        if server is None:
+            return self.guaranteed
+        upper_limit = self.guaranteed
+        horizon = now + self.grant_duration * (1 + DRIFT)
+        if server.confirmed_amount is not None and server.confirmed_until >= horizon:
+            upper_limit = server.confirmed_amount
+        for grant in server.sent:
+            if now < self._expires_at(grant):
+                upper_limit = max(upper_limit, grant.amount)
+        return upper_limit
+
+    def committed(self, now: float) -> float:
+        """Return the most that all servers, known or not, may use within the next grant duration."""
+        known = sum(self.upper_limit(now, name) for name in self.servers)
+        return known + self.guaranteed * (self.max_servers - len(self.servers))
+
+    def status(self, now: float) -> dict[str, object]:
+        """Return what `valeturn fleet status` shows; its keys must not change."""
+        return {
+            "servers": len(self.servers),
+            "committed": round(self.committed(now), 3),
+            "cap": self.limit,
+        }
+
+    def _server(self, now: float, name: str) -> ServerQuota | None:
+        """Return the record of a server, made where it is new; None where there is no room."""
+        server = self.servers.get(name)
+        if server is not None:
+            return server
+        if len(self.servers) >= self.max_servers:
+            self._forget_unknown(now)
+        if len(self.servers) >= self.max_servers:
+            return None
+        server = self.servers[name] = ServerQuota(now)
+        return server
+
+    def _confirm(self, server: ServerQuota, current_grant: GrantId) -> None:
+        """Take which grant a server goes by.
+
+        A grant of an earlier leader, or none, confirms nothing: the server may use its guaranteed quota.
+        """
+        token, number = current_grant
+        if token != self.fencing_token:
+            return
+        grant = next((sent for sent in server.sent if sent.number == number), None)
+        if grant is None:
+            return
+        server.sent = [sent for sent in server.sent if sent.number >= number]
+        if grant.amount >= self.guaranteed:
+            server.confirmed_amount = None
+        elif number > server.reduced_after:
+            server.confirmed_amount = grant.amount
+            server.confirmed_until = grant.sent_at + 2 * self.grant_duration
+            server.sent.remove(grant)
+
+    def _expire(self, now: float, server: ServerQuota) -> None:
+        """Forget the grants that cannot be accepted any more.
+
+        Such a grant may have been accepted, and be over again, without any message from the server.
+        """
+        for grant in [sent for sent in server.sent if now >= self._expires_at(sent)]:
+            server.sent.remove(grant)
+            server.forget_reduction(max(server.reduced_after, grant.number))
+
+    def _expires_at(self, grant: SentGrant) -> float:
+        """Return when a grant cannot be accepted any more, and what it lent is over, by this clock."""
+        return grant.sent_at + self.grant_duration * (1 + DRIFT)
+
+    def _amount(self, now: float, name: str, server: ServerQuota) -> float:
+        target = self._current_targets(now).get(name, self.guaranteed)
+        amount = min(target, self.limit - self.committed(now) + self.upper_limit(now, name))
+        if amount >= self.guaranteed:  # from here on it may fall back to its guaranteed quota at any time
+            server.forget_reduction(self.number + 1)
             return amount
-        # It stays lent: the room for its sure share is in use elsewhere, for `lasts` at the most.
-        return max(NEVER_LENT * self.sure, amount)
-
-    def _targets(self, now):
-        """name -> what each should have: what it needs and a margin, evenly cut down where that is too much.
-        Worked out a few times a term."""
-        if now - self.split_at < self.lasts / 8 and len(self.targets) == len(self.places):
-            return self.targets
-        self.split_at = now
-        fresh = {n: p for n, p in self.places.items() if now - p.asked <= FRESH * self.lasts}
-        room = self.cap - self.sure * (self.largest - len(fresh))
-        least = NEVER_LENT * self.sure
-        wants = sorted((max(least, MARGIN * p.need), n) for n, p in fresh.items())
-        self.targets, left = {}, len(wants)
-        for want, name in wants:  # the smallest wants first: the even part of what is left, or less
-            self.targets[name] = min(want, room / left)
-            room, left = room - self.targets[name], left - 1
-        spare = room / len(fresh) if fresh else 0.0
-        self.targets = {name: target + spare for name, target in self.targets.items()}
+        # It stays lent: others use what is missing to its guaranteed quota, for one duration at the most.
+        return max(NEVER_LENT * self.guaranteed, amount)
+
+    def _current_targets(self, now: float) -> dict[str, float]:
+        """Return the target of each server by name, computed anew a few times in a grant's duration."""
+        is_recent = now - self.targets_computed_at < self.grant_duration / TARGETS_PER_DURATION
+        if not is_recent or len(self.targets) != len(self.servers):
+            self.targets_computed_at = now
+            self.targets = self._compute_targets(now)
         return self.targets
 
-    def _forget(self, now):
-        for name, place in list(self.places.items()):
-            if now - place.asked > max(FRESH * self.lasts, 2 * less_time(self.lasts)):
-                del self.places[name]
-
-    def figures(self, now):
-        return {"servers": len(self.places), "committed": round(self.committed(now), 3), "cap": self.cap}
+    def _compute_targets(self, now: float) -> dict[str, float]:
+        """Give each server what it needs and a margin, cut down to an even part where that is too much.
+
+        This is max-min fairness: the smallest needs are met first. What is left is spread evenly.
+        """
+        known = {
+            name: server
+            for name, server in self.servers.items()
+            if now - server.requested_at <= UNKNOWN_AFTER * self.grant_duration
+        }
+        left = self.limit - self.guaranteed * (self.max_servers - len(known))
+        least = NEVER_LENT * self.guaranteed
+        wanted = sorted((max(least, TARGET_MARGIN * server.need), name) for name, server in known.items())
+        targets = {}
+        servers_left = len(wanted)
+        for amount, name in wanted:
+            targets[name] = min(amount, left / servers_left)
+            left = left - targets[name]
+            servers_left -= 1
+        spare = left / len(known) if known else 0.0
+        return {name: target + spare for name, target in targets.items()}
+
+    def _forget_unknown(self, now: float) -> None:
+        """Forget servers whose last request is so old that all their grants have expired."""
+        oldest = max(UNKNOWN_AFTER * self.grant_duration, 2 * reduced_duration(self.grant_duration))
+        for name, server in list(self.servers.items()):
+            if now - server.requested_at > oldest:
+                del self.servers[name]
--- a/valeturn/lab/fault_injection/member.py
+++ b/valeturn/lab/fault_injection/member.py
@@ -66,7 +66,7 @@
         self.note_share()
 
     def note_share(self):
-        amount, until = self.calls.usable(), self.calls.holder.until
+        amount, until = self.call_quota.available(), self.call_quota.client.valid_until
         until = self.seams.to_boot(until) if until < 1e300 else 1e300
         line = f"share {node.boot_clock():.6f} {amount!r} {until:.6f}"
         if line.split()[2:] != getattr(self, "noted", None):
--- a/valeturn/server/components/singleton_tasks.py
+++ b/valeturn/server/components/singleton_tasks.py
@@ -22,7 +22,7 @@
         found = sharing_of(built)
         if found is not None:
             self.fleet.share_calls(*found, lambda: self.sharing.need(server.core.at_calls()))
-            self.sharing = Sharing(self.fleet.calls.usable)
+            self.sharing = Sharing(self.fleet.call_quota.available)
 
     def takes(self, built):
         """All but the sharing of calls, of which all servers must hold the same cap: that wants restarts."""
