--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from valeturn.cluster import bootstrap, codec, peer_connections, vote_file
+from valeturn.cluster import bootstrap, codec, peer_connections
 from valeturn.cluster import raft as ow
 from valeturn.lab import model_checker as ex
 from valeturn.operator_config import schema
@@ -131,36 +131,6 @@
     assert broken == "one holder of a fence"
 
 
-# ---- votes
-
-
-def test_a_vote_is_read_back_and_refused_where_it_is_another_s_or_damaged(tmp_path):
-    facts = ow.Facts((("n1", 5),), (("d", "n1", 5, 7),), 7)
-    kept = ow.Kept(3, "n1", 2, 1, facts, (ow.Entry(3, ("begin",)),), False)
-    data = vote_file.encode("lab", "n1", "127.0.0.1:1", 5, kept)
-    assert vote_file.decode(data, "lab", "n1", "127.0.0.1:1") == (5, kept)
-    for fleet, name, address in (
-        ("other", "n1", "127.0.0.1:1"),
-        ("lab", "n2", "127.0.0.1:1"),
-        ("lab", "n1", "127.0.0.1:2"),
-    ):
-        with pytest.raises(vote_file.Refused, match="belongs to"):
-            vote_file.decode(data, fleet, name, address)
-    for at in range(len(data)):
-        with pytest.raises(vote_file.Refused):
-            vote_file.decode(data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :], "lab", "n1", "127.0.0.1:1")
-    folder, other = vote_file.Folder(tmp_path / "v"), vote_file.Folder(tmp_path / "v")
-    folder.take()
-    with pytest.raises(vote_file.Refused, match="another process"):
-        other.take()
-    assert folder.read() is None
-    folder.write(data)
-    assert folder.read() == data
-    folder.release()
-    other.take()
-    other.release()
-
-
 # ---- the operator's file
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -414,8 +414,8 @@
 def test_vote_file_of_earlier_version_is_read_and_written_the_same(name: str, tmp_path: pathlib.Path) -> None:
     case = VOTES["good"][name]
     shutil.copytree(GOLDEN / "vote" / name, tmp_path / "kept")
-    folder = vote_file.Folder(tmp_path / "kept")
-    folder.take()
+    folder = vote_file.VoteDirectory(tmp_path / "kept")
+    folder.lock()
     data = folder.read()
     assert data == (GOLDEN / "vote" / name / "vote").read_bytes()
     found = vote_file.decode(data, *case["of"])
@@ -424,7 +424,7 @@
     assert kept == kept_of(case["kept"])
     assert vote_file.encode(*case["of"], life, kept) == data
     folder.write(vote_file.encode(*case["of"], life, kept_of(case["kept"])))
-    folder.release()
+    folder.unlock()
     assert sorted(one.name for one in (tmp_path / "kept").iterdir()) == ["lock", "vote"]
     assert (tmp_path / "kept" / "vote").read_bytes() == data
 
@@ -433,7 +433,7 @@
 def test_vote_file_that_was_refused_is_refused_the_same(name: str) -> None:
     case = VOTES["refused"][name]
     data = (GOLDEN / "vote" / name / "vote").read_bytes()
-    with pytest.raises(vote_file.Refused) as refused:
+    with pytest.raises(vote_file.VoteFileError) as refused:
         vote_file.decode(data, *case["of"])
     assert str(refused.value) == case["why"]
 
--- a/valeturn/cluster/node.py
+++ b/valeturn/cluster/node.py
@@ -41,14 +41,14 @@
     clock: object = boot_clock
     to_boot: object = float  # a moment of `clock` by the boot clock
     dial: object = connect
-    folder: object = vote_file.Folder
+    folder: object = vote_file.VoteDirectory
     wall: object = time.time  # for the number of a life alone
     links: object = Links
 
 
 class Fleet:
     def __init__(self, options, name, scheduler, count, log, seed, seams=None):
-        """Raises votes.Refused or OSError where this server can't take part."""
+        """Raises VoteFileError or OSError where this server can't take part."""
         self.seams = seams = seams or Seams()
         self.options, self.name, self.scheduler = options, name, scheduler
         self.count, self.log = count, log
@@ -57,7 +57,7 @@
         life, kept = int(1000 * self.seams.wall()), None
         if options.folder is not None:
             self.vote_folder = seams.folder(options.folder)
-            self.vote_folder.take()
+            self.vote_folder.lock()
             data = self.vote_folder.read()
             if data is not None:
                 found = vote_file.decode(data, options.name, name, options.listen)
@@ -611,4 +611,4 @@
         self.links.close_now()
         if self.helper is not None:
             self.helper.finish(max(0.01, patience))
-            self.vote_folder.release()
+            self.vote_folder.unlock()
--- a/valeturn/cluster/vote_file.py
+++ b/valeturn/cluster/vote_file.py
@@ -1,9 +1,10 @@
-"""The folder that remembers a vote: one small file, replaced whole, durable before anybody is told.
+r"""The directory that holds a voter's durable state: one small file, replaced atomically.
 
-    file = b"valeturn vote 1\\n" crc:4 msgpack [fleet, name, address, life, kept]      little-endian
+    file = b"valeturn vote 1\n" crc:4 msgpack [cluster, name, address, incarnation, state]      little-endian
 
-It belongs to one server: a folder that was copied to another one, or moved to another address, is refused, as
-the vote of one life must not be given by two.
+The state is durable before any message that depends on it is sent (Raft, "Persistent state on all servers").
+The file belongs to one server: a directory that was copied to another one, or moved to another address, is
+rejected, as two servers must not vote under one incarnation.
 """
 
 from __future__ import annotations
@@ -16,119 +17,168 @@
 import google_crc32c
 import msgpack
 
+from ..errors import ValeturnError
 from .raft import Entry, Facts, Kept, fact_of
 
 MAGIC = b"valeturn vote 1\n"
-FILE = "vote"
-CRC = struct.Struct("<I")
+FILE_NAME = "vote"
+LOCK_NAME = "lock"
+CHECKSUM = struct.Struct("<I")
 
 
-class Refused(Exception):
-    """The folder can't be used by this server: args[0] says why."""
+class VoteFileError(ValeturnError):
+    """This server cannot use the directory.
 
+    Attributes:
+        reason: the text for the operator.
+    """
 
-class Found(NamedTuple):
-    life: int
-    kept: Kept
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
 
 
-def encode(fleet, name, address, life, kept):
-    packed = msgpack.packb(
+class DamagedVoteFileError(VoteFileError):
+    """The file is incomplete or its checksum does not match."""
+
+
+class ForeignVoteFileError(VoteFileError):
+    """The file belongs to another server, cluster or address."""
+
+
+class VoteDirectoryInUseError(VoteFileError):
+    """Another process on this machine has locked the directory."""
+
+
+class StoredVote(NamedTuple):
+    """What a file holds."""
+
+    incarnation: int
+    state: Kept
+
+
+def encode(cluster: str, name: str, address: str, incarnation: int, state: Kept) -> bytes:
+    """Return the bytes of the file."""
+    entries = [[entry.term, list(entry.fact)] for entry in state.entries]
+    packed: bytes = msgpack.packb(
         [
-            fleet,
+            cluster,
             name,
             address,
-            life,
+            incarnation,
             [
-                kept.term,
-                kept.vote,
-                kept.base,
-                kept.base_term,
-                kept.facts.packed(),
-                [[entry.term, list(entry.fact)] for entry in kept.entries],
-                kept.blank,
+                state.term,
+                state.vote,
+                state.base,
+                state.base_term,
+                state.facts.packed(),
+                entries,
+                state.blank,
             ],
         ]
     )
-    return MAGIC + CRC.pack(google_crc32c.value(packed)) + packed
-
-
-def decode(data, fleet, name, address):
-    """A Found. Raises Refused where it is another's, or damaged: a vote that can't be read was forgotten only
-    once an operator has removed it."""
-    packed = data[len(MAGIC) + CRC.size :]
-    if (
-        not data.startswith(MAGIC)
-        or len(data) < len(MAGIC) + CRC.size
-        or CRC.unpack_from(data, len(MAGIC))[0] != google_crc32c.value(packed)
-    ):
-        raise Refused("damaged; remove it, and this server votes again once it was readmitted")
-    its_fleet, its_name, its_address, life, kept = msgpack.unpackb(packed)
-    if (its_fleet, its_name) != (fleet, name):
-        raise Refused(f"belongs to {its_name} of fleet {its_fleet}")
-    if its_address != address:
-        raise Refused(
-            f"belongs to {its_name} at {its_address}, not {address}: a copy, or a server that moved; "
+    return MAGIC + CHECKSUM.pack(google_crc32c.value(packed)) + packed
+
+
+def decode(data: bytes, cluster: str, name: str, address: str) -> StoredVote:
+    """Return what the file of this server holds.
+
+    Raises:
+        DamagedVoteFileError: it cannot be read. The server does not go on without its vote by itself: an
+            operator has to remove the file.
+        ForeignVoteFileError: it belongs to another server, cluster or address.
+    """
+    packed = _checked_content(data)
+    file_cluster, file_name, file_address, incarnation, state = msgpack.unpackb(packed)
+    if (file_cluster, file_name) != (cluster, name):
+        raise ForeignVoteFileError(f"belongs to {file_name} of fleet {file_cluster}")
+    if file_address != address:
+        raise ForeignVoteFileError(
+            f"belongs to {file_name} at {file_address}, not {address}: a copy, or a server that moved; "
             "remove it here if that one is gone"
         )
-    term, vote, base, base_term, facts, entries, blank = kept
-    return Found(
-        life,
-        Kept(
-            term,
-            vote,
-            base,
-            base_term,
-            Facts.read(facts),
-            tuple(Entry(t, fact_of(fact)) for t, fact in entries),
-            blank,
-        ),
+    term, vote, base, base_term, facts, entries, blank = state
+    decoded_entries = tuple(Entry(entry_term, fact_of(fact)) for entry_term, fact in entries)
+    return StoredVote(
+        incarnation, Kept(term, vote, base, base_term, Facts.read(facts), decoded_entries, blank)
     )
 
 
-class Folder:
-    """The real one; a test's may fail where it wants to."""
+def _checked_content(data: bytes) -> bytes:
+    """Return what follows the checksum.
+
+    Raises:
+        DamagedVoteFileError: the file is incomplete or its checksum does not match.
+    """
+    header_size = len(MAGIC) + CHECKSUM.size
+    content = data[header_size:]
+    is_complete = data.startswith(MAGIC) and len(data) >= header_size
+    if not is_complete or CHECKSUM.unpack_from(data, len(MAGIC))[0] != google_crc32c.value(content):
+        raise DamagedVoteFileError("damaged; remove it, and this server votes again once it was readmitted")
+    return content
+
+
+class VoteDirectory:
+    """The directory of the file, locked against other processes on this machine."""
 
-    def __init__(self, path):
-        self.path, self.locked = path, None
+    def __init__(self, path: str | os.PathLike[str]) -> None:
+        self.path = path
+        self.lock_descriptor: int | None = None
 
-    def take(self):
-        """Makes it where it is missing and keeps others on this machine out. Raises Refused or OSError."""
+    def lock(self) -> None:
+        """Make the directory where it is missing and lock it.
+
+        Raises:
+            VoteDirectoryInUseError: another process has locked it.
+            OSError: it cannot be made or opened.
+        """
         os.makedirs(self.path, mode=0o700, exist_ok=True)
-        self.locked = os.open(os.path.join(self.path, "lock"), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
+        lock_path = os.path.join(self.path, LOCK_NAME)
+        self.lock_descriptor = os.open(lock_path, os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(self.locked, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self.lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            self.release()
-            raise Refused("another process has it") from None
+            self.unlock()
+            raise VoteDirectoryInUseError("another process has it") from None
+
+    def unlock(self) -> None:
+        """Release the lock, if it is held."""
+        if self.lock_descriptor is not None:
+            os.close(self.lock_descriptor)
+            self.lock_descriptor = None
 
-    def release(self):
-        if self.locked is not None:
-            os.close(self.locked)
-            self.locked = None
+    def read(self) -> bytes | None:
+        """Return the bytes of the file, or None where nothing was ever stored.
 
-    def read(self):
-        """None where nothing was ever kept."""
+        Raises:
+            OSError: the file cannot be read.
+        """
         try:
-            with open(os.path.join(self.path, FILE), "rb") as file:
+            with open(os.path.join(self.path, FILE_NAME), "rb") as file:
                 return file.read()
         except FileNotFoundError:
             return None
 
-    def write(self, data):
-        """Durable, whole or not at all, when it returns. Raises OSError."""
-        target = os.path.join(self.path, FILE)
-        descriptor = os.open(target + ".new", os.O_CREAT | os.O_TRUNC | os.O_WRONLY | os.O_CLOEXEC, 0o600)
+    def write(self, data: bytes) -> None:
+        """Replace the file atomically; it is durable on return.
+
+        Raises:
+            OSError: the file cannot be written; the former one is still there.
+        """
+        target = os.path.join(self.path, FILE_NAME)
+        temporary = target + ".new"
+        descriptor = os.open(temporary, os.O_CREAT | os.O_TRUNC | os.O_WRONLY | os.O_CLOEXEC, 0o600)
         try:
-            view = memoryview(data)
-            while view:
-                view = view[os.write(descriptor, view) :]
+            remaining = memoryview(data)
+            while remaining:
+                remaining = remaining[os.write(descriptor, remaining) :]
             os.fdatasync(descriptor)
         finally:
             os.close(descriptor)
-        os.rename(target + ".new", target)
-        folder = os.open(self.path, os.O_RDONLY | os.O_CLOEXEC)
+        os.rename(temporary, target)
+        # The rename is durable only once the directory is.
+        directory_descriptor = os.open(self.path, os.O_RDONLY | os.O_CLOEXEC)
         try:
-            os.fsync(folder)
+            os.fsync(directory_descriptor)
         finally:
-            os.close(folder)
+            os.close(directory_descriptor)
--- a/valeturn/lab/fault_injection/member.py
+++ b/valeturn/lab/fault_injection/member.py
@@ -76,7 +76,7 @@
     KINDS = {**node.Fleet.KINDS, "share": on_share}
 
 
-class Filling(vote_file.Folder):
+class Filling(vote_file.VoteDirectory):
     """On a disk that is full while a file says so."""
 
     full = None
--- a/valeturn/server/components/cluster.py
+++ b/valeturn/server/components/cluster.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ...cluster.node import Fleet
-from ...cluster.vote_file import Refused
+from ...cluster.vote_file import VoteFileError
 from ...control import requests
 from ..configuration import Wrong
 from . import Part as Base
@@ -19,7 +19,7 @@
             self.fleet = Fleet(
                 built, c.name, server.scheduler, server.counters.add, server.log, c.seed, server.seams.fleet
             )
-        except Refused as refused:
+        except VoteFileError as refused:
             raise Wrong(f"fleet: {built.folder}: {refused}") from None
         except OSError as error:
             raise Wrong(f"fleet: {built.listen}, {built.folder or 'no folder'}: {error}") from None
@@ -51,9 +51,9 @@
         if isinstance(request, requests.Fenced):
             if fleet.fencing_tokens.accept("control." + request.name, request.number):
                 return None
+            highest_seen = fleet.fencing_tokens.highest_seen["control." + request.name]
             return requests.refused(
-                f"{request.number} is lower than {fleet.fencing_tokens.highest_seen['control.' + request.name]}, "
-                "which was seen here: another has taken over"
+                f"{request.number} is lower than {highest_seen}, which was seen here: another has taken over"
             )
         if not isinstance(request, requests.Fleet):
             return None
