--- a/tests/digests/vote_persistence.py
+++ b/tests/digests/vote_persistence.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from valeturn.cluster.raft import Facts, Kept, Persist, Send, Told
-from valeturn.cluster.vote_persistence import Keeping
+from valeturn.cluster.vote_persistence import VotePersistence
 
 EFFECTS = (Persist, Send, Told)
 STEPS = 5000
@@ -65,22 +65,22 @@
     chance = random.Random(seed)
     helper = Helper(record)
     now = 0.0
-    keeping = Keeping(Folder(), helper, encode)
-    memory = Keeping(None, helper, encode)
+    keeping = VotePersistence(Folder(), helper, encode)
+    memory = VotePersistence(None, helper, encode)
     for number in range(STEPS):
         now += chance.uniform(0.0, 0.5)
         effects = generated_effects(chance, 10 * number)
         kind = chance.random()
         if kind < 0.5:
-            record([plain(one) for one in keeping.carry(effects)])
+            record([plain(one) for one in keeping.submit(effects)])
         elif kind < 0.55:
-            record([plain(one) for one in memory.carry(effects)])
+            record([plain(one) for one in memory.submit(effects)])
         elif kind < 0.6:
-            record([plain(one) for one in keeping.go_on()])
+            record([plain(one) for one in keeping.release()])
         elif keeping.writing:
             result = OSError(28, "no space") if chance.random() < 0.2 else None
-            record([plain(one) for one in keeping.written(now, result)])
-        wants = keeping.wants_retry(now)
+            record([plain(one) for one in keeping.write_finished(now, result)])
+        wants = keeping.is_retry_due(now)
         record([wants, keeping.writing, len(keeping.waiting), helper.asked])
         if wants and chance.random() < 0.7:
             keeping.write(Kept(term=10 * number + 9))
--- a/valeturn/cluster/node.py
+++ b/valeturn/cluster/node.py
@@ -21,7 +21,7 @@
 from .peer_connections import Links
 from .raft import ROLES, Facts, Owner, Send
 from .raft import Told as Committed
-from .vote_persistence import Keeping
+from .vote_persistence import VotePersistence
 
 TICKS = 12  # a lease
 # of the lease between words of one that remembers nothing, and between facts for those that don't vote
@@ -78,7 +78,7 @@
         if name in options.voters and self.owner.kept.blank and not self.owner.facts.voters:
             floor = 0 if options.folder is not None else int(seams.wall()) << limits.EPOCH
             self.founding = Founding(name, self.vote_life, floor, options.voters)
-        self.vote = Keeping(self.vote_folder, self.helper, self.encode_vote)
+        self.vote = VotePersistence(self.vote_folder, self.helper, self.encode_vote)
         self.singleton_tasks = singleton_tasks.SingletonTasks(name, self.vote_life)
         self.fencing_tokens = FencingTokens()
         self.others = []  # subsystems on top: kinds, tick(now, term), each with messages of its own
@@ -124,7 +124,7 @@
         if self.silenced:
             return
         if self.vote.failed_at is not None:
-            if self.vote.wants_retry(now):
+            if self.vote.is_retry_due(now):
                 self.vote.write(self.owner.kept)
         else:
             self.carry(self.owner.tick(now))
@@ -227,7 +227,7 @@
             self.carry_duties(self.singleton_tasks.tick(now, None))
 
     def carry(self, effects):
-        for effect in self.vote.carry(effects):
+        for effect in self.vote.submit(effects):
             self.do(effect)
 
     def do(self, effect):
@@ -246,7 +246,7 @@
                     self.count("fleet.vote_failed")
                 elif self.vote.failed_at is not None:
                     self.log("fleet_vote_kept_again")
-                for effect in self.vote.written(self.clock(), result):
+                for effect in self.vote.write_finished(self.clock(), result):
                     self.do(effect)
 
     # ---- facts
--- a/valeturn/cluster/vote_persistence.py
+++ b/valeturn/cluster/vote_persistence.py
@@ -1,54 +1,123 @@
-"""Keeps what a voter must not forget: effects behind a Persist wait until it is durable."""
+"""Make a voter's state durable before the effects that depend on it are carried out.
+
+A voter must not send a message that rests on a vote, a term or an entry that it could forget (Raft,
+"Persistent state on all servers"). The writes themselves happen on a worker thread.
+"""
 
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Callable, Iterable
+from typing import Protocol
+
+from .raft import Kept, Persist
+
+# Seconds from a write that failed to the next.
+RETRY_INTERVAL_S = 1.0
+# The name of the write among the jobs of the worker thread.
+JOB = "vote"
+
+# Any effect of the Raft machine: see raft.py.
+Effect = object
+
+
+class Directory(Protocol):
+    """Where the state is stored."""
+
+    def write(self, data: bytes) -> None:
+        """Replace what is stored, durably."""
+
+
+class Worker(Protocol):
+    """The thread that writes."""
 
-from .raft import Persist
+    def ask(self, what: str, function: Callable[[bytes], None], /, *args: bytes) -> None:
+        """Call the function on the thread."""
 
-RETRY = 1.0  # s from a write that failed to the next
 
+class VotePersistence:
+    """Holds effects back until the state that they depend on is durable."""
 
-class Keeping:
-    def __init__(self, folder, helper, encode):
-        """folder: None where nothing outlasts the server. encode(kept) -> bytes."""
-        self.folder, self.helper, self.encode = folder, helper, encode
-        self.waiting, self.writing, self.failed_at = deque(), False, None
+    def __init__(
+        self,
+        directory: Directory | None,
+        worker: Worker | None,
+        encode: Callable[[Kept], bytes],
+    ) -> None:
+        """Start with nothing held back.
 
-    def carry(self, effects):
-        """All that may be done now, in order."""
-        if self.folder is None:
-            return [one for one in effects if not isinstance(one, Persist)]
+        Args:
+            directory: where the state is stored; None where nothing outlasts the server.
+            worker: the thread that writes; None without a directory.
+            encode: returns the bytes of a state.
+        """
+        self.directory = directory
+        self.worker = worker
+        self.encode = encode
+        self.waiting: deque[Effect] = deque()
+        self.writing = False
+        self.failed_at: float | None = None
+
+    def submit(self, effects: Iterable[Effect]) -> list[Effect]:
+        """Take effects and return those that can be carried out now, in order."""
+        if self.directory is None:
+            return [effect for effect in effects if not isinstance(effect, Persist)]
         self.waiting.extend(effects)
-        return self.go_on()
+        return self.release()
 
-    def go_on(self):
-        out = []
+    def release(self) -> list[Effect]:
+        """Return the effects that wait for no write any more, and start the next write."""
+        released: list[Effect] = []
         while self.waiting and not self.writing:
-            one = self.waiting.popleft()
-            if not isinstance(one, Persist):
-                out.append(one)
-                continue
-            # The last of several may stand for all: a message that goes out later than it might is only late.
-            all_kept = [one.kept, *(other.kept for other in self.waiting if isinstance(other, Persist))]
-            self.waiting = deque(other for other in self.waiting if not isinstance(other, Persist))
-            self.write(all_kept[-1])
-        return out
-
-    def write(self, kept):
+            effect = self.waiting.popleft()
+            if isinstance(effect, Persist):
+                self._write_latest(effect)
+            else:
+                released.append(effect)
+        return released
+
+    def write(self, state: Kept) -> None:
+        """Start a write on the worker thread.
+
+        Without a directory there is nothing to write to: nobody asks for it then.
+        """
         self.writing = True
-        self.helper.ask("vote", self.folder.write, self.encode(kept))
+        if self.directory is not None and self.worker is not None:
+            self.worker.ask(JOB, self.directory.write, self.encode(state))
 
-    def written(self, now, result):
-        """What may go out now. After an error nothing does that waited for it, and this server votes no more
-        until its disk takes what it has to keep."""
+    def write_finished(self, now: float, result: object) -> list[Effect]:
+        """Take the result of a write and return the effects that can be carried out now.
+
+        After an error the effects that waited for the write are dropped: this server votes no more until its
+        disk takes the state.
+
+        Args:
+            now: the time.
+            result: an OSError where the write failed.
+        """
         self.writing = False
         if isinstance(result, OSError):
             self.waiting.clear()
             self.failed_at = now
             return []
         self.failed_at = None
-        return self.go_on()
+        return self.release()
+
+    def is_retry_due(self, now: float) -> bool:
+        """Return whether a failed write is to be repeated now."""
+        return self.failed_at is not None and not self.writing and now - self.failed_at >= RETRY_INTERVAL_S
+
+    def _write_latest(self, first: Persist) -> None:
+        """Write the last of all waiting states in place of each.
 
-    def wants_retry(self, now):
-        return self.failed_at is not None and not self.writing and now - self.failed_at >= RETRY
+        The effects between them go out later than they might, which is harmless.
+        """
+        latest = first.kept
+        effects: deque[Effect] = deque()
+        for effect in self.waiting:
+            if isinstance(effect, Persist):
+                latest = effect.kept
+            else:
+                effects.append(effect)
+        self.waiting = effects
+        self.write(latest)
