--- a/tests/cluster/test_singleton_tasks.py
+++ b/tests/cluster/test_singleton_tasks.py
@@ -7,10 +7,10 @@
     StartCommand,
     StopCommand,
 )
-from valeturn.cluster.task_options import DutyOptions
+from valeturn.cluster.task_options import SingletonTaskOptions
 from valeturn.transport.seeded_random import Chance
 
-OPTIONS = DutyOptions("run", "x", None, 60.0, 0.1, "number", None, 0.5)
+OPTIONS = SingletonTaskOptions("run", "x", None, 60.0, 0.1, "number", None, 0.5)
 
 
 def reference_model(script):
--- a/tests/digests/singleton_tasks.py
+++ b/tests/digests/singleton_tasks.py
@@ -13,24 +13,24 @@
     StartCommand,
     StopCommand,
 )
-from valeturn.cluster.task_options import DutyOptions
+from valeturn.cluster.task_options import SingletonTaskOptions
 
 EFFECTS = (Propose, StartCommand, StopCommand, LogEvent)
 STEPS = 5000
 NAMES = ("clean", "report", "share", "sync", "tidy")
 
 
-def generated_options(chance: random.Random, name: str) -> DutyOptions:
+def generated_options(chance: random.Random, name: str) -> SingletonTaskOptions:
     """Return one duty as an operator might have it."""
     if name == "share":
-        return DutyOptions("share-calls", None, None, 60.0, 1.0, "clock", 50, 0.5)
+        return SingletonTaskOptions("share-calls", None, None, 60.0, 1.0, "clock", 50, 0.5)
     every = chance.choice([None, 3.0, 10.0])
     most = chance.choice([2.0, 3.0])
     patience = chance.choice([0.5, 1.0])
-    return DutyOptions("run", f"do {name} {every}", every, most, patience, "number", None, 0.5)
+    return SingletonTaskOptions("run", f"do {name} {every}", every, most, patience, "number", None, 0.5)
 
 
-def generated_file(chance: random.Random) -> dict[str, DutyOptions]:
+def generated_file(chance: random.Random) -> dict[str, SingletonTaskOptions]:
     """Return the duties of another operator's file."""
     names = [name for name in NAMES if chance.random() < 0.8]
     return {name: generated_options(chance, name) for name in names}
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -21,7 +21,7 @@
 from valeturn.cluster import codec, node, peer_connections, vote_file
 from valeturn.cluster.options import FleetOptions
 from valeturn.cluster.raft import Entry, Facts, Kept, Owner, Persist, Send
-from valeturn.cluster.task_options import DutyOptions
+from valeturn.cluster.task_options import SingletonTaskOptions
 from valeturn.control import requests
 from valeturn.lab import restarts
 from valeturn.maintenance.coordinator import Measured, Turns
@@ -119,7 +119,7 @@
 
         seams = node.Seams(clock, float, None, None, wall, make_end)
         fleet = node.Fleet(options, name, self, ignore, ignore, number, seams)
-        duty = DutyOptions("share-calls", None, None, 60.0, 0.0, "number", 40, 0.5)
+        duty = SingletonTaskOptions("share-calls", None, None, 60.0, 0.0, "number", 40, 0.5)
         fleet.configure({"calls": duty})
         fleet.share_calls("calls", duty, lambda: 2.5 + 10.0 * number)
         turns_options = TurnsOptions(1, 0.9, False, 0.0, 1, 1.0, 20.0, 60.0, "keep", None, None)
--- a/valeturn/cluster/call_quota.py
+++ b/valeturn/cluster/call_quota.py
@@ -7,7 +7,7 @@
 
 from .fencing import FencingTokens
 from .quota import GrantId, QuotaAllocator, QuotaClient, QuotaGrant, QuotaRequest
-from .task_options import DutyOptions
+from .task_options import SingletonTaskOptions
 
 # Kinds of the messages between servers; their bytes must not change.
 REQUEST_MESSAGE = "need"
@@ -56,7 +56,9 @@
 class CallQuota:
     """Both sides of the split of the calls on one server. Timestamps are in seconds of the node's clock."""
 
-    def __init__(self, node: ClusterNode, name: str, options: DutyOptions, need: Callable[[], float]) -> None:
+    def __init__(
+        self, node: ClusterNode, name: str, options: SingletonTaskOptions, need: Callable[[], float]
+    ) -> None:
         """Take part in the split.
 
         Args:
@@ -69,9 +71,11 @@
         self.name = name
         self.options = options
         self.need = need
-        self.limit = options.cap or 0  # the options are checked to have one: see task_options
+        self.limit = options.call_limit or 0  # the options are checked to have one: see task_options
         self.max_servers = node.options.largest
-        self.grant_duration = max(REQUESTS_PER_GRANT * options.round, LEASES_PER_GRANT * node.options.lease)
+        self.grant_duration = max(
+            REQUESTS_PER_GRANT * options.request_interval, LEASES_PER_GRANT * node.options.lease
+        )
         self.client = QuotaClient(node.clock(), self.limit / self.max_servers, self.grant_duration)
         self.allocator: QuotaAllocator | None = None  # while this server is the leader
         self.next_request_at = 0.0
@@ -85,7 +89,7 @@
         if now < self.next_request_at:
             return
         spread = 1 - JITTER + 2 * JITTER * self.node.chance.share()
-        self.next_request_at = now + self.options.round * spread
+        self.next_request_at = now + self.options.request_interval * spread
         need, sent_at, current_grant = self.client.request(now, self.need())
         leader = self._lease_holder()
         if leader == self.node.name:
--- a/valeturn/cluster/singleton_tasks.py
+++ b/valeturn/cluster/singleton_tasks.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from .task_options import DutyOptions
+from .task_options import RUN, SingletonTaskOptions
 
 # Seconds from one request for a grant to the next: a committed grant takes two round trips.
 GRANT_REQUEST_INTERVAL_S = 1.0
@@ -158,7 +158,7 @@
 class SingletonTask:
     """One task. Timestamps are in seconds of the caller's clock."""
 
-    def __init__(self, name: str, options: DutyOptions, now: float) -> None:
+    def __init__(self, name: str, options: SingletonTaskOptions, now: float) -> None:
         self.name = name
         self.options = options
         self.state = TaskState.NOT_HELD
@@ -184,11 +184,11 @@
     def is_overdue(self, now: float) -> bool:
         """Return whether the command has run for longer than it may."""
         running = self.command_state is CommandState.RUNNING
-        return running and now - self.started_at >= self.options.most
+        return running and now - self.started_at >= self.options.time_limit
 
     def is_due(self, now: float, term: int | None) -> bool:
         """Return whether the command is to start."""
-        may_run = self.is_held(term) and self.options.do == "run"
+        may_run = self.is_held(term) and self.options.kind == RUN
         return may_run and self.command_state is CommandState.WAITING and now >= self.due_at
 
     def status(self, now: float) -> dict[str, object]:
@@ -196,7 +196,7 @@
         return {
             "state": self.state.value,
             "for_s": round(now - self.state_since, 1),
-            "does": self.options.do,
+            "does": self.options.kind,
             "fence": self.fencing_token,
             "run": self.command_state.value,
             "runs": self.run_count,
@@ -214,7 +214,7 @@
         self.term: int | None = None  # of this server's own leadership, while it is the leader
         self._effects: list[Effect] = []
 
-    def configure(self, now: float, configured: Mapping[str, DutyOptions]) -> list[Effect]:
+    def configure(self, now: float, configured: Mapping[str, SingletonTaskOptions]) -> list[Effect]:
         """Take the tasks that the operator's file has now.
 
         Changed options hold from the next start of the command. A task that is gone is stopped and given
@@ -333,7 +333,7 @@
         options = task.options
         # Commands that run have one: see task_options.
         command = options.command or ""
-        self._effects.append(StartCommand(task.name, command, task.fencing_token, options.patience))
+        self._effects.append(StartCommand(task.name, command, task.fencing_token, options.grace_period))
 
     def _stop_command(self, now: float, task: SingletonTask) -> None:
         self._effects.append(StopCommand(task.name))
@@ -342,7 +342,7 @@
         run = task.last_run
         if run is None:  # an ended command always has one
             return
-        interval = task.options.every
+        interval = task.options.interval
         if interval is None:
             task.due_at = now + RETRY_INTERVAL_S
         else:
--- a/valeturn/cluster/task_options.py
+++ b/valeturn/cluster/task_options.py
@@ -1,103 +1,154 @@
-"""The sections [duty NAME] of the operator's file: work that one server does on behalf of the fleet."""
+"""The sections [duty NAME] of the operator's file: the singleton tasks of the cluster."""
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from collections.abc import Iterator, Mapping
+from typing import Any, NamedTuple, Protocol
 
-from ..operator_config.schema import REQUIRED, Field, Shape
+from ..operator_config.schema import REQUIRED, Fault, Field, Shape, Value
 from ..operator_config.value_types import One, Quantity, Text, Whole
 from . import limits
 
-KILLED = 0.15  # of the lease, before its end, at which a command is killed that did not heed TERM
-LONGEST_PATIENCE = 0.3  # of the lease: with KILLED under half of it, what a healthy owner always has left
-
-
-class DutyOptions(NamedTuple):
-    do: str  # "run" or "share-calls"
-    command: str | None  # for a shell, of `run`
-    every: (
-        float | None
-    )  # s from one start to the next; without it a command that ends is done till the next owner
-    most: float  # s that a run may take: a minute, or what `every` leaves, where the file does not say
-    patience: float  # s from TERM to KILL
-    fenced: str  # "number": what it touches compares fences; "clock": only the owner's clock keeps others off
-    cap: int | None  # calls out that the dependency takes from all servers together, of `share-calls`
-    round: float  # s between two asks of a server for its share
-    where: dict = {}
-
-
-def build(values, where):
-    if values["most"] is None:
-        values = {**values, "most": min(60.0, values["every"] or 60.0)}
-    options, faults = DutyOptions(**values, where=where), []
-    if options.do == "run" and options.command is None:
-        faults.append(where["do"].fault("missing-key", "run wants a command"))
-    if options.do == "share-calls" and options.cap is None:
-        faults.append(where["do"].fault("missing-key", "share-calls wants cap"))
-    for key, do in (("command", "run"), ("every", "run"), ("cap", "share-calls")):
-        if getattr(options, key) is not None and options.do != do:
-            faults.append(where[key].fault("no-use", f"{key} is for {do} alone"))
-    if options.do == "run" and options.fenced == "none":
-        faults.append(
-            where["fenced"].fault(
-                "unfenced",
-                "nothing keeps a late owner's effects off: fenced = number where what the command touches "
-                "refuses lower VALETURN_FENCE numbers, fenced = clock for the weaker promise",
-            )
+# Fraction of the lease, before its end, at which a command is killed that did not heed TERM: the same as in
+# process_guard.py, which imports nothing from here.
+KILL_MARGIN = 0.15
+# Longest grace period, as a fraction of the lease: with KILL_MARGIN it is under half of the lease, which is
+# what a healthy leader always has left.
+LONGEST_GRACE_PERIOD = 0.3
+# Seconds that a command may run at the most where the file does not say and its interval leaves more.
+DEFAULT_TIME_LIMIT_S = 60.0
+DAY_S = 86400.0
+
+# Kinds of tasks, as the file names them.
+RUN = "run"
+SHARE_CALLS = "share-calls"
+KINDS = (RUN, SHARE_CALLS)
+# What keeps late effects of an earlier lease holder off, as the file names it. NUMBER: the resource compares
+# fencing tokens. CLOCK: only the lease does.
+NUMBER = "number"
+CLOCK = "clock"
+NONE = "none"
+
+
+class ServerConfiguration(Protocol):
+    """What is used of the server's configuration."""
+
+    names: Any
+
+
+class SingletonTaskOptions(NamedTuple):
+    """The options of one task. Durations are in seconds."""
+
+    kind: str
+    command: str | None  # for a shell; of RUN
+    interval: float | None  # between starts; without it a command that succeeds is done for this lease holder
+    time_limit: float  # of one run
+    grace_period: float  # from TERM to KILL
+    fencing: str
+    call_limit: int | None  # calls that may be out on all servers together; of SHARE_CALLS
+    request_interval: float  # between a server's requests for its quota
+    where: Mapping[str, Value] = {}  # the place of each key in the file
+
+
+def build(values: Mapping[str, Any], where: Mapping[str, Value]) -> tuple[SingletonTaskOptions, list[Fault]]:
+    """Return the options of one section and its faults."""
+    interval = values["every"]
+    time_limit = values["most"]
+    if time_limit is None:
+        time_limit = min(DEFAULT_TIME_LIMIT_S, interval or DEFAULT_TIME_LIMIT_S)
+    options = SingletonTaskOptions(
+        kind=values["do"],
+        command=values["command"],
+        interval=interval,
+        time_limit=time_limit,
+        grace_period=values["patience"],
+        fencing=values["fenced"],
+        call_limit=values["cap"],
+        request_interval=values["round"],
+        where=where,
+    )
+    return options, [*_missing_keys(options), *_useless_keys(options), *_unsafe_values(options)]
+
+
+def _missing_keys(options: SingletonTaskOptions) -> Iterator[Fault]:
+    place = options.where["do"]
+    if options.kind == RUN and options.command is None:
+        yield place.fault("missing-key", "run wants a command")
+    if options.kind == SHARE_CALLS and options.call_limit is None:
+        yield place.fault("missing-key", "share-calls wants cap")
+
+
+def _useless_keys(options: SingletonTaskOptions) -> Iterator[Fault]:
+    for key, value, kind in (
+        ("command", options.command, RUN),
+        ("every", options.interval, RUN),
+        ("cap", options.call_limit, SHARE_CALLS),
+    ):
+        if value is not None and options.kind != kind:
+            yield options.where[key].fault("no-use", f"{key} is for {kind} alone")
+
+
+def _unsafe_values(options: SingletonTaskOptions) -> Iterator[Fault]:
+    if options.kind == RUN and options.fencing == NONE:
+        yield options.where["fenced"].fault(
+            "unfenced",
+            "nothing keeps a late owner's effects off: fenced = number where what the command touches "
+            "refuses lower VALETURN_FENCE numbers, fenced = clock for the weaker promise",
         )
-    if options.every is not None and options.most > options.every:
-        faults.append(where["most"].fault("over-every", "a run may still go on when the next is due"))
-    return options, faults
+    if options.interval is not None and options.time_limit > options.interval:
+        yield options.where["most"].fault("over-every", "a run may still go on when the next is due")
 
 
-def fit(duties, c):
-    """What is wrong with them beside each other."""
-    faults, sharing = [], [name for name, one in duties.items() if one.do == "share-calls"]
+# The configuration and the sections below are those of operator_config/loader.py.
+
+
+def fit(tasks: Mapping[str, SingletonTaskOptions], configuration: ServerConfiguration) -> list[Fault]:
+    """Return the faults of all tasks together beside the server's configuration."""
+    faults = []
+    sharing = [name for name, options in tasks.items() if options.kind == SHARE_CALLS]
     for name in sharing[1:]:
-        faults.append(
-            duties[name].where["do"].fault("doubled-duty", f"[duty {sharing[0]}] shares the calls already")
-        )
-    if len(duties) > limits.DUTIES:
-        faults.append(
-            next(iter(duties.values()))
-            .where["do"]
-            .fault("out-of-range", f"{limits.DUTIES} duties at the most, has {len(duties)}")
-        )
-    if sharing and not any(w.calls for w in c.names.settings.workloads):
-        faults.append(duties[sharing[0]].where["do"].fault("no-calls", "no workload here makes calls"))
+        place = tasks[name].where["do"]
+        faults.append(place.fault("doubled-duty", f"[duty {sharing[0]}] shares the calls already"))
+    if len(tasks) > limits.DUTIES:
+        place = next(iter(tasks.values())).where["do"]
+        text = f"{limits.DUTIES} duties at the most, has {len(tasks)}"
+        faults.append(place.fault("out-of-range", text))
+    if sharing and not any(workload.calls for workload in configuration.names.settings.workloads):
+        faults.append(tasks[sharing[0]].where["do"].fault("no-calls", "no workload here makes calls"))
     return faults
 
 
-def beside(duties, sections):
-    """What is wrong with them beside [fleet], without which there is nobody to share them with."""
-    faults, fleet = [], sections.get("fleet")
-    for name, one in duties.items():
-        if fleet is None:
-            faults.append(one.where["do"].fault("no-fleet", f"[duty {name}] wants a section [fleet]"))
-        elif one.do == "run" and one.patience > LONGEST_PATIENCE * fleet.lease:
-            faults.append(
-                one.where["patience"].fault(
-                    "patience-past-lease",
-                    f"a command has to be gone before the lease of {fleet.lease:g} s may pass on: "
-                    f"at most {LONGEST_PATIENCE * fleet.lease:g} s",
-                )
-            )
-        elif one.do == "share-calls" and one.round > fleet.lease:
-            faults.append(
-                one.where["round"].fault("round-past-lease", "a share would be gone before the next")
-            )
-    return faults
+def beside(tasks: Mapping[str, SingletonTaskOptions], sections: Mapping[str, Any]) -> list[Fault]:
+    """Return the faults of all tasks beside [fleet], without which no other server could hold them."""
+    cluster = sections.get("fleet")
+    if cluster is None:
+        return [
+            options.where["do"].fault("no-fleet", f"[duty {name}] wants a section [fleet]")
+            for name, options in tasks.items()
+        ]
+    return [fault for options in tasks.values() for fault in _past_lease(options, cluster.lease)]
+
+
+def _past_lease(options: SingletonTaskOptions, lease: float) -> Iterator[Fault]:
+    longest = LONGEST_GRACE_PERIOD * lease
+    if options.kind == RUN and options.grace_period > longest:
+        yield options.where["patience"].fault(
+            "patience-past-lease",
+            f"a command has to be gone before the lease of {lease:g} s may pass on: at most {longest:g} s",
+        )
+    elif options.kind == SHARE_CALLS and options.request_interval > lease:
+        yield options.where["round"].fault("round-past-lease", "a share would be gone before the next")
 
 
 SHAPE = Shape(
     "duty",
     {
-        "do": Field(One(("run", "share-calls")), REQUIRED),
+        "do": Field(One(KINDS), REQUIRED),
         "command": Field(Text(), None),
-        "every": Field(Quantity("a time", 0.1, 30 * 86400.0), None),
-        "most": Field(Quantity("a time", 0.1, 86400.0), None),
+        "every": Field(Quantity("a time", 0.1, 30 * DAY_S), None),
+        "most": Field(Quantity("a time", 0.1, DAY_S), None),
         "patience": Field(Quantity("a time", 0.0, 10.0), 0.5),
-        "fenced": Field(One(("number", "clock", "none")), "none"),
+        "fenced": Field(One((NUMBER, CLOCK, NONE)), NONE),
         "cap": Field(Whole(1, 1_000_000), None),
         "round": Field(Quantity("a time", 0.05, 10.0), 0.5),
     },
--- a/valeturn/lab/fault_injection/virtual.py
+++ b/valeturn/lab/fault_injection/virtual.py
@@ -10,7 +10,7 @@
 from ...cluster import limits, node
 from ...cluster.options import FleetOptions
 from ...cluster.raft import DRIFT
-from ...cluster.task_options import DutyOptions
+from ...cluster.task_options import SingletonTaskOptions
 from ...transport.seeded_random import Chance
 from ..virtual import Timeline, percentile
 
@@ -104,7 +104,7 @@
         for _ in range(8):
             self.chance.share()
         self.votes = min(count, limits.VOTERS)
-        self.duty = DutyOptions("share-calls", None, None, 60.0, 0.0, "number", CAP, ROUND)
+        self.duty = SingletonTaskOptions("share-calls", None, None, 60.0, 0.0, "number", CAP, ROUND)
         self.by_address, self.sent, self.over = {}, 0, 0
         self.members = [Member(self, number) for number in range(count)]
         self.by_name = {member.name: member for member in self.members}
--- a/valeturn/server/components/singleton_tasks.py
+++ b/valeturn/server/components/singleton_tasks.py
@@ -8,7 +8,7 @@
 
 def sharing_of(duties):
     """(name, options) of the duty that shares the calls, or None."""
-    return next(((name, one) for name, one in duties.items() if one.do == "share-calls"), None)
+    return next(((name, one) for name, one in duties.items() if one.kind == "share-calls"), None)
 
 
 class Part(Base):
