--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -19,7 +19,7 @@
 import pytest
 
 from valeturn.cluster import codec, node, peer_connections, vote_file
-from valeturn.cluster.options import FleetOptions
+from valeturn.cluster.options import ClusterOptions
 from valeturn.cluster.raft import Entry, Facts, Kept, Owner, Persist, Send
 from valeturn.cluster.task_options import SingletonTaskOptions
 from valeturn.control import requests
@@ -104,7 +104,7 @@
         """Start a server, under a new life."""
         number = int(name[1:])
         seeds = tuple(self.address(one) for one in self.VOTERS)
-        options = FleetOptions(
+        options = ClusterOptions(
             FLEET, self.address(name), seeds, self.VOTERS, None, f"z{number % 2}", 1.0, 2.0, False, 8
         )
 
--- a/valeturn/cluster/options.py
+++ b/valeturn/cluster/options.py
@@ -1,127 +1,175 @@
-"""The section [fleet] of the operator's file."""
+"""The section [fleet] of the operator's file: the options of the cluster."""
 
 from __future__ import annotations
 
 import re
-from typing import NamedTuple
+from collections.abc import Mapping
+from typing import Any, NamedTuple, Protocol
 
-from ..operator_config.schema import REQUIRED, Field, Shape
+from ..operator_config.schema import REQUIRED, Fault, Field, Shape, Value
 from ..operator_config.value_types import Folder, Quantity, Switch, Wants, Whole
 from . import limits
 from .membership import SUSPICION
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]*")
+# Parts of an IPv4 address, and one more than the largest part and the largest port.
+ADDRESS_PARTS = 4
+PART_END = 256
+PORT_END = 65536
+# Seeds that an operator may list: enough for one in each zone of a large cluster.
+MAX_SEEDS = 16
+# Bytes that a cluster takes: msgpack, crc32c and 1,024 members; measured 2.1 MB with 20.
+MEMORY_BYTES = 3_000_000
+# MB that a process takes without any subsystem.
+PROCESS_MB = 24
+
+
+class ValueType(Protocol):
+    """A type of values in the operator's file."""
+
+    def read(self, text: str) -> str:
+        """Return the value of a text, or raise Wants."""
 
 
 class Address(NamedTuple):
-    """The kind of `HOST:PORT`, the host as four numbers: no name is ever looked up."""
+    """The type of `HOST:PORT`, the host as four numbers: no name is ever looked up."""
 
-    def read(self, text):
+    def read(self, text: str) -> str:
+        """Return the address in its canonical form.
+
+        Raises:
+            Wants: it is no address.
+        """
         host, colon, port = text.rpartition(":")
-        numbers = host.split(".")
-        good = len(numbers) == 4 and all(n.isascii() and n.isdigit() and int(n) < 256 for n in numbers)
-        if not colon or not good or not (port.isascii() and port.isdigit() and 0 < int(port) < 65536):
+        if not colon or not _is_host(host) or not _is_port(port):
             raise Wants("unreadable-value", f"wants an address such as 10.0.0.5:7700, has {text!r}")
         return f"{host}:{int(port)}"
 
 
-class Word(NamedTuple):
-    """The kind of a name of a server, a zone or a fleet."""
+def _is_number_below(text: str, end: int) -> bool:
+    return text.isascii() and text.isdigit() and int(text) < end
+
+
+def _is_host(text: str) -> bool:
+    parts = text.split(".")
+    return len(parts) == ADDRESS_PARTS and all(_is_number_below(part, PART_END) for part in parts)
+
+
+def _is_port(text: str) -> bool:
+    return _is_number_below(text, PORT_END) and int(text) > 0
+
 
-    def read(self, text):
+class Name(NamedTuple):
+    """The type of a name of a server, a zone or a cluster."""
+
+    def read(self, text: str) -> str:
+        """Return the name.
+
+        Raises:
+            Wants: it has other characters, or too many.
+        """
         if not NAME.fullmatch(text) or len(text) > limits.ADDRESS:
             raise Wants("unreadable-value", f"wants letters, digits, '-', '_' or '.', has {text!r}")
         return text
 
 
-class Many(NamedTuple):
-    """A list of another kind, parted by commas, each once; more than `most` are none."""
+class Items(NamedTuple):
+    """The type of a list of another type, separated by commas, without duplicates."""
+
+    item_type: ValueType
+    max_count: int
 
-    kind: object
-    most: int
+    def read(self, text: str) -> tuple[str, ...]:
+        """Return the items.
 
-    def read(self, text):
-        found = tuple(self.kind.read(one.strip()) for one in text.split(","))
-        if len(set(found)) != len(found):
-            twice = next(one for one in found if found.count(one) > 1)
-            raise Wants("doubled-name", f"names {twice} twice")
-        if len(found) > self.most:
-            raise Wants("out-of-range", f"wants {self.most} at the most, has {len(found)}")
-        return found
+        Raises:
+            Wants: an item is not of its type, is there twice, or there are too many.
+        """
+        items = tuple(self.item_type.read(item.strip()) for item in text.split(","))
+        if len(set(items)) != len(items):
+            duplicate = next(item for item in items if items.count(item) > 1)
+            raise Wants("doubled-name", f"names {duplicate} twice")
+        if len(items) > self.max_count:
+            raise Wants("out-of-range", f"wants {self.max_count} at the most, has {len(items)}")
+        return items
 
 
-class FleetOptions(NamedTuple):
+class ClusterOptions(NamedTuple):
+    """The options of the cluster. Durations are in seconds."""
+
     name: str
     listen: str
-    seeds: tuple
-    voters: tuple  # names of those that found the fleet and vote
-    folder: str | None  # for the vote, where a disk outlasts the server
+    seeds: tuple[str, ...]
+    voters: tuple[str, ...]  # names of those that bootstrap the cluster and vote
+    folder: str | None  # of the vote file, where a disk outlasts the server
     zone: str
-    probe: float  # s between probes of another member
-    lease: float  # s that an owner acts on one round of answers
+    probe: float  # between probes of another member
+    lease: float  # that a leader acts on one round of answers
     even: bool  # an even number of voters is meant
-    largest: int  # servers that the fleet may ever have at once
-    memory: int = 3_000_000  # bytes: msgpack, crc32c and 1,024 members; measured 2.1 MB with 20
-    where: dict = {}
+    largest: int  # servers that the cluster may ever have at once
+    memory: int = MEMORY_BYTES
+    where: Mapping[str, Value] = {}  # the place of each key in the file
 
 
-def build(values, where):
-    options = FleetOptions(**values, where=where)
+def build(values: Mapping[str, Any], where: Mapping[str, Value]) -> tuple[ClusterOptions, list[Fault]]:
+    """Return the options of the section and its faults."""
+    options = ClusterOptions(**values, where=where)
     faults = []
-    if len(options.voters) % 2 == 0 and not options.even:
-        faults.append(
-            where["voters"].fault(
-                "even-voters",
-                f"{len(options.voters)} voters survive the loss of no more than "
-                f"{len(options.voters) - 1} would; even = on if that is meant",
-            )
+    voter_count = len(options.voters)
+    if voter_count % 2 == 0 and not options.even:
+        text = (
+            f"{voter_count} voters survive the loss of no more than "
+            f"{voter_count - 1} would; even = on if that is meant"
         )
-    if options.lease > SUSPICION * options.probe:
-        faults.append(
-            where["lease"].fault(
-                "lease-past-suspicion",
-                f"an owner may be held lost after {SUSPICION * options.probe:g} s, while its "
-                f"lease of {options.lease:g} s still holds; lengthen probe or shorten lease",
-            )
+        faults.append(where["voters"].fault("even-voters", text))
+    suspicion = SUSPICION * options.probe
+    if options.lease > suspicion:
+        text = (
+            f"an owner may be held lost after {suspicion:g} s, while its "
+            f"lease of {options.lease:g} s still holds; lengthen probe or shorten lease"
         )
-    if options.largest < len(options.voters):
-        faults.append(where["largest"].fault("too-small", f"{len(options.voters)} vote already"))
-    if options.listen in options.seeds and len(options.seeds) == 1 and len(options.voters) > 1:
+        faults.append(where["lease"].fault("lease-past-suspicion", text))
+    if options.largest < voter_count:
+        faults.append(where["largest"].fault("too-small", f"{voter_count} vote already"))
+    if options.seeds == (options.listen,) and voter_count > 1:
         faults.append(where["seeds"].fault("only-itself", "the one seed is this server: it finds nobody"))
     return options, faults
 
 
-def fit(built, c):
-    """What is wrong with it beside a configuration."""
-    faults, host = [], built.listen.rpartition(":")
-    if (
-        int(host[2]) == c.listen[1]
-        and host[0] in (c.listen[0], "0.0.0.0")
-        or (int(host[2]) == c.listen[1] and c.listen[0] == "0.0.0.0")
-    ):
-        faults.append(
-            built.where["listen"].fault("gateways-address", f"{built.listen} is where gateways come")
-        )
-    if built.memory > (c.memory_mb - 24) * 1e6:
-        faults.append(
-            built.where["name"].fault(
-                "over-the-limits",
-                f"a fleet takes {built.memory / 1e6:g} MB beside the 24 of a process; "
-                f"limits.memory_mb is {c.memory_mb:g}",
-            )
+class ServerConfiguration(Protocol):
+    """What is used of the server's configuration."""
+
+    listen: tuple[str, int]
+    memory_mb: float
+
+
+def fit(options: ClusterOptions, configuration: ServerConfiguration) -> list[Fault]:
+    """Return the faults of the options beside the server's configuration."""
+    faults = []
+    host, _, port = options.listen.rpartition(":")
+    gateway_host, gateway_port = configuration.listen[:2]
+    any_host = "0.0.0.0"
+    if int(port) == gateway_port and (host in (gateway_host, any_host) or gateway_host == any_host):
+        text = f"{options.listen} is where gateways come"
+        faults.append(options.where["listen"].fault("gateways-address", text))
+    if options.memory > (configuration.memory_mb - PROCESS_MB) * 1e6:
+        text = (
+            f"a fleet takes {options.memory / 1e6:g} MB beside the {PROCESS_MB} of a process; "
+            f"limits.memory_mb is {configuration.memory_mb:g}"
         )
+        faults.append(options.where["name"].fault("over-the-limits", text))
     return faults
 
 
 SHAPE = Shape(
     "fleet",
     {
-        "name": Field(Word(), REQUIRED),
+        "name": Field(Name(), REQUIRED),
         "listen": Field(Address(), REQUIRED),
-        "seeds": Field(Many(Address(), 16), REQUIRED),
-        "voters": Field(Many(Word(), limits.VOTERS), REQUIRED),
+        "seeds": Field(Items(Address(), MAX_SEEDS), REQUIRED),
+        "voters": Field(Items(Name(), limits.VOTERS), REQUIRED),
         "folder": Field(Folder(), None),
-        "zone": Field(Word(), "-"),
+        "zone": Field(Name(), "-"),
         "probe": Field(Quantity("a time", 0.1, 60.0), 1.0),
         "lease": Field(Quantity("a time", 0.2, 60.0), 2.0),
         "even": Field(Switch(), False),
--- a/valeturn/lab/fault_injection/virtual.py
+++ b/valeturn/lab/fault_injection/virtual.py
@@ -8,7 +8,7 @@
 import time
 
 from ...cluster import limits, node
-from ...cluster.options import FleetOptions
+from ...cluster.options import ClusterOptions
 from ...cluster.raft import DRIFT
 from ...cluster.task_options import SingletonTaskOptions
 from ...transport.seeded_random import Chance
@@ -44,7 +44,7 @@
         self.net, self.number, self.name, self.up = net, number, f"n{number}", True
         self.rate = 1 + 0.9 * DRIFT * (net.chance.share() - 0.5)
         self.cpu, self.need = 0.0, 4 * CAP / net.count * net.chance.share() ** 2
-        self.options = FleetOptions(
+        self.options = ClusterOptions(
             "lab",
             f"10.0.{number // 250}.{number % 250}:7700",
             tuple(f"10.0.0.{n}:7700" for n in range(3)),
