--- a/valeturn/cluster/limits.py
+++ b/valeturn/cluster/limits.py
@@ -1,15 +1,30 @@
-"""Bounds of all that a fleet's parts keep."""
+"""Limits of all that a cluster's modules store, with how each figure was chosen."""
 
-MEMBERS = 1024  # known at once, those that are gone too: a thousand servers are the largest fleet aimed at
-MESSAGE = 131072  # bytes: the facts of a release over a thousand servers; a list of MEMBERS comes in several
-GOSSIP = 8  # news in one message: 60 bytes each, so that a message stays under half a kilobyte
-SYNCED = 32  # members in one message of a list: with the longest names it stays under MESSAGE
-ADDRESS = 64  # characters of a name, a zone or an address
-QUEUED_BYTES = 262144  # of them; two of the longest
-QUEUED = 128  # messages that wait for one link: more than a leader sends in several leases
-UNSENT = 65536  # bytes that wait in one link before messages wait in the queue: what a peer reads at once
-LINKS = 256  # open at once; past it the one idle the longest goes. More servers are reached, by turns
-VOTERS = 9  # more make each fact slower and no fleet safer
-DUTIES = 32
-TAIL = 2000  # bytes kept of what a duty's command printed last: some twenty lines
-EPOCH = 28  # bits of a fence under its epoch: a grant a second for eight years
+# Members known at once, dead ones included: a thousand servers are the largest cluster aimed at.
+MEMBERS = 1024
+# Bytes of a message: the replicated state of a release over a thousand servers. A list of MEMBERS comes in
+# several messages.
+MESSAGE = 131072
+# Membership updates in one message: 60 bytes each, so that a message stays under half a kilobyte.
+GOSSIP = 8
+# Members in one message of a full list: with the longest names it stays under MESSAGE.
+SYNCED = 32
+# Characters of a name, a zone or an address.
+ADDRESS = 64
+# Bytes queued for one connection: two of the longest messages.
+QUEUED_BYTES = 262144
+# Messages queued for one connection: more than a leader sends in several leases.
+QUEUED = 128
+# Bytes that one connection has not sent before messages wait in the queue: what a peer reads at once.
+UNSENT = 65536
+# Connections open at once. Past it the one that was idle longest is closed, so that more servers are reached
+# one after the other.
+LINKS = 256
+# Voters: more make each commit slower and no cluster safer.
+VOTERS = 9
+# Singleton tasks in the operator's file.
+SINGLETON_TASKS = 32
+# Bytes kept of what a task's command printed last: some twenty lines.
+OUTPUT_TAIL = 2000
+# Bits of a fencing token below its epoch: a grant a second for eight years.
+EPOCH_BITS = 28
--- a/valeturn/cluster/node.py
+++ b/valeturn/cluster/node.py
@@ -76,7 +76,7 @@
         self.owner = self.make_owner(kept=kept)
         self.founding = None
         if name in options.voters and self.owner.kept.blank and not self.owner.facts.voters:
-            floor = 0 if options.folder is not None else int(seams.wall()) << limits.EPOCH
+            floor = 0 if options.folder is not None else int(seams.wall()) << limits.EPOCH_BITS
             self.founding = Founding(name, self.vote_life, floor, options.voters)
         self.vote = VotePersistence(self.vote_folder, self.helper, self.encode_vote)
         self.singleton_tasks = singleton_tasks.SingletonTasks(name, self.vote_life)
@@ -369,7 +369,7 @@
 
     @staticmethod
     def epoch(fence):
-        return fence >> limits.EPOCH
+        return fence >> limits.EPOCH_BITS
 
     def forget(self):
         """The fleet was revived without this one: what it has kept is of before, and it votes anew."""
@@ -510,7 +510,7 @@
         _, facts, _ = self.facts()
         floor = (
             self.epoch(max([facts.fence, *self.fencing_tokens.highest_seen.values()])) + 1
-        ) << limits.EPOCH
+        ) << limits.EPOCH_BITS
         self.vote_anew()
         self.founding = None
         voters = ((self.name, self.vote_life),)
--- a/valeturn/cluster/task_options.py
+++ b/valeturn/cluster/task_options.py
@@ -109,9 +109,9 @@
     for name in sharing[1:]:
         place = tasks[name].where["do"]
         faults.append(place.fault("doubled-duty", f"[duty {sharing[0]}] shares the calls already"))
-    if len(tasks) > limits.DUTIES:
+    if len(tasks) > limits.SINGLETON_TASKS:
         place = next(iter(tasks.values())).where["do"]
-        text = f"{limits.DUTIES} duties at the most, has {len(tasks)}"
+        text = f"{limits.SINGLETON_TASKS} duties at the most, has {len(tasks)}"
         faults.append(place.fault("out-of-range", text))
     if sharing and not any(workload.calls for workload in configuration.names.settings.workloads):
         faults.append(tasks[sharing[0]].where["do"].fault("no-calls", "no workload here makes calls"))
--- a/valeturn/cluster/task_processes.py
+++ b/valeturn/cluster/task_processes.py
@@ -19,7 +19,7 @@
 
 GUARD_PROGRAM = os.path.join(os.path.dirname(__file__), "process_guard.py")
 # Bytes kept of the guard's result: its JSON line escapes a byte of output in up to 8 characters.
-RESULT_BYTES = 8 * limits.TAIL
+RESULT_BYTES = 8 * limits.OUTPUT_TAIL
 # Bytes read from a guard at once: what a Linux pipe holds.
 READ_BYTES = 65536
 # Seconds between checks whether a guard that has closed its output has ended: it does so at once.
