--- a/valeturn/cluster/commands.py
+++ b/valeturn/cluster/commands.py
@@ -1,106 +1,145 @@
-"""`valeturn fleet ...`: what is asked of servers about their fleet, and what a duty's command uses."""
+"""The command `valeturn fleet ...`: requests to servers about their cluster, and fenced replacement of files.
+
+The texts that it prints and its exit codes must not change.
+"""
 
 from __future__ import annotations
 
+import json
 import os
 import sys
+from collections.abc import Iterator, Mapping
+from typing import Any, BinaryIO
 
 from ..control import client, requests
 from . import fencing
 
-STALE = 3  # exit code: another has taken over
+# Exit codes.
+SUCCESS = 0
+FAILURE = 1
+USAGE = 2
+STALE = 3  # the fencing token is lower than one that was seen
+# Lines of a command's output that are shown.
+SHOWN_LINES = 5
+
 
+def run(arguments: Mapping[str, Any]) -> int:
+    """Carry out the command and return its exit code.
 
-def run(given):
-    """The exit code for docopt's words."""
-    if given["fenced-replace"]:
-        return fenced_replace(given["FILE"], given["--fence"], sys.stdin.buffer)
-    paths = given["SOCKET"]
-    if given["status"]:
-        return status(paths, given["--json"])
-    what = next(word for word in requests.FLEET if given[word])
-    if what == "revive" and not given["--i-know"]:
+    Args:
+        arguments: what docopt has parsed.
+    """
+    if arguments["fenced-replace"]:
+        return fenced_replace(arguments["FILE"], arguments["--fence"], sys.stdin.buffer)
+    if arguments["status"]:
+        return status(arguments["SOCKET"], arguments["--json"])
+    action = next(word for word in requests.FLEET if arguments[word])
+    if action == "revive" and not arguments["--i-know"]:
         print(
             "valeturn: revive gives up what a lost majority may have decided; --i-know says that none of its "
             "servers will come back as it was",
             file=sys.stderr,
         )
-        return 2
-    request = {"do": "fleet", "what": what, "server": given["--to"] or given["NAME"]}
-    worst = 0
+        return USAGE
+    return send_request(arguments["SOCKET"], action, arguments["--to"] or arguments["NAME"])
+
+
+def send_request(paths: list[str], action: str, server: str | None) -> int:
+    """Send a request to the servers behind some control sockets and print their answers.
+
+    Returns:
+        SUCCESS where all servers have done it, else FAILURE.
+    """
+    request = {"do": "fleet", "what": action, "server": server}
+    exit_code = SUCCESS
     for path in paths:
-        got = client.ask(path, request)
-        print(
-            f"{path}: {'done' if got['good'] else got['why']}", file=sys.stdout if got["good"] else sys.stderr
-        )
-        worst = worst or (0 if got["good"] else 1)
-    return worst
+        answer = client.ask(path, request)
+        if answer["good"]:
+            print(f"{path}: done")
+        else:
+            print(f"{path}: {answer['why']}", file=sys.stderr)
+            exit_code = FAILURE
+    return exit_code
+
 
+def status(paths: list[str], as_json: bool) -> int:
+    """Print the status of the cluster as the servers behind some control sockets see it.
 
-def status(paths, as_json):
-    """0 where all answered and know an owner."""
-    good = True
+    Returns:
+        SUCCESS where all servers have answered and know a leader, else FAILURE.
+    """
+    exit_code = SUCCESS
     for path in paths:
-        got = client.ask(path, {"do": "status"})
-        fleet = got["status"].get("fleet") if got["good"] else None
-        if fleet is None:
-            print(f"{path}: {got['why'] if not got['good'] else 'in no fleet'}", file=sys.stderr)
-            good = False
+        answer = client.ask(path, {"do": "status"})
+        cluster = answer["status"].get("fleet") if answer["good"] else None
+        if cluster is None:
+            print(f"{path}: {'in no fleet' if answer['good'] else answer['why']}", file=sys.stderr)
+            exit_code = FAILURE
             continue
-        good = good and fleet["owner"] is not None
+        if cluster["owner"] is None:
+            exit_code = FAILURE
         if as_json:
-            import json
-
-            print(json.dumps({path: fleet}, indent=2))
+            print(json.dumps({path: cluster}, indent=2))
         else:
-            print("\n".join(human(got["status"]["name"], fleet)))
-    return 0 if good else 1
-
-
-def human(name, fleet):
-    lines = [
-        f"{name}: {requests.fleet_line(fleet)}",
-        f"  votes: {', '.join(fleet['voters']) or 'nobody yet'}",
-    ]
-    for member in fleet["members"]:
-        why = f", by the word of {member['accused_by']}" if member["accused_by"] else ""
-        lines.append(
-            f"  {member['name']:<20} {member['state']} for {member['for_s']:.0f} s{why}, "
-            f"{member['address']}, zone {member['zone']}"
-        )
-    for name, duty in fleet["duties"].items():
-        lines.append(
-            f"  duty {name} ({duty['does']}): {duty['state']} for {duty['for_s']:.0f} s"
-            + (f", fence {duty['fence']}" if duty["state"] == "held" else "")
-        )
-        if duty["does"] == "run":
-            lines.append(f"    {duty['run']}, started {duty['runs']} times here")
-            last = duty["last"]
-            if last is not None:
-                lines.append(
-                    f"    last: {last['why']}, exit {last['code']}, {last['took']:.1f} s, "
-                    f"fence {last['fence']}"
-                )
-                lines += [f"      | {line}" for line in last["tail"].splitlines()[-5:]]
-    for row in fleet["owners"]:
-        lines.append(f"  {row['duty']} belongs to {row['owner']} under {row['fence']}")
-    if fleet["share"] is not None:
-        lines.append(
-            f"  calls that may be out here: {fleet['share']['calls']:.2f} ({fleet['share']['from']})"
-        )
-    if fleet["split"] is not None:
-        lines.append(
-            f"  split: {fleet['split']['committed']:g} of {fleet['split']['cap']:g} calls are given out"
-        )
-    return lines
+            print("\n".join(status_lines(answer["status"]["name"], cluster)))
+    return exit_code
+
+
+def status_lines(server: str, cluster: Mapping[str, Any]) -> Iterator[str]:
+    """Yield the lines that show a server's status of its cluster."""
+    yield f"{server}: {requests.fleet_line(cluster)}"
+    yield f"  votes: {', '.join(cluster['voters']) or 'nobody yet'}"
+    for member in cluster["members"]:
+        yield _member_line(member)
+    for name, task in cluster["duties"].items():
+        yield from _task_lines(name, task)
+    for row in cluster["owners"]:
+        yield f"  {row['duty']} belongs to {row['owner']} under {row['fence']}"
+    quota = cluster["share"]
+    if quota is not None:
+        yield f"  calls that may be out here: {quota['calls']:.2f} ({quota['from']})"
+    split = cluster["split"]
+    if split is not None:
+        yield f"  split: {split['committed']:g} of {split['cap']:g} calls are given out"
+
+
+def _member_line(member: Mapping[str, Any]) -> str:
+    suspected_by = f", by the word of {member['accused_by']}" if member["accused_by"] else ""
+    return (
+        f"  {member['name']:<20} {member['state']} for {member['for_s']:.0f} s{suspected_by}, "
+        f"{member['address']}, zone {member['zone']}"
+    )
+
+
+def _task_lines(name: str, task: Mapping[str, Any]) -> Iterator[str]:
+    token = f", fence {task['fence']}" if task["state"] == "held" else ""
+    yield f"  duty {name} ({task['does']}): {task['state']} for {task['for_s']:.0f} s{token}"
+    if task["does"] != "run":
+        return
+    yield f"    {task['run']}, started {task['runs']} times here"
+    last = task["last"]
+    if last is None:
+        return
+    yield f"    last: {last['why']}, exit {last['code']}, {last['took']:.1f} s, fence {last['fence']}"
+    for line in last["tail"].splitlines()[-SHOWN_LINES:]:
+        yield f"      | {line}"
+
+
+def fenced_replace(path: str, token_text: str | None, source: BinaryIO) -> int:
+    """Replace a file with standard input under a fencing token.
 
+    Args:
+        path: the file.
+        token_text: the token as it was given, or None for that of the environment.
+        source: where the file's new content is read from.
 
-def fenced_replace(path, fence, source):
-    """Replaces a file with standard input, unless a higher number was there: exit code 3 then."""
-    text = fence if fence is not None else os.environ.get("VALETURN_FENCE", "")
+    Returns:
+        SUCCESS; STALE where a higher token was seen; USAGE where the token is no number; else FAILURE.
+    """
+    text = token_text if token_text is not None else os.environ.get("VALETURN_FENCE", "")
     if not text.isascii() or not text.isdigit() or int(text) > fencing.HIGHEST_TOKEN:
         print(f"valeturn: --fence or VALETURN_FENCE wants a number, has {text!r}", file=sys.stderr)
-        return 2
+        return USAGE
     try:
         fencing.replace_file(path, source.read(), int(text))
     except fencing.StaleTokenError as stale:
@@ -111,5 +150,5 @@
         return STALE
     except OSError as error:
         print(f"valeturn: {path}: {error}", file=sys.stderr)
-        return 1
-    return 0
+        return FAILURE
+    return SUCCESS
