--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -19,11 +19,11 @@
 import pytest
 
 from valeturn.cluster import codec, node, peer_connections, vote_file
-from valeturn.cluster.options import FleetOptions
+from valeturn.cluster.options import ClusterOptions
 from valeturn.cluster.raft import Persist, RaftNode, Send
 from valeturn.cluster.raft_log import DurableState, LogEntry
 from valeturn.cluster.replicated_state import ClusterState
-from valeturn.cluster.task_options import DutyOptions
+from valeturn.cluster.task_options import SingletonTaskOptions
 from valeturn.control import answers, requests
 from valeturn.control.errors import InvalidRequestError
 from valeturn.lab import restarts
@@ -109,7 +109,7 @@
         """Start a server, under a new life."""
         number = int(name[1:])
         seeds = tuple(self.address(one) for one in self.VOTERS)
-        options = FleetOptions(
+        options = ClusterOptions(
             FLEET, self.address(name), seeds, self.VOTERS, None, f"z{number % 2}", 1.0, 2.0, False, 8
         )
 
@@ -124,7 +124,7 @@
 
         seams = node.Seams(clock, float, None, None, wall, make_end)
         fleet = node.Fleet(options, name, self, ignore, ignore, number, seams)
-        duty = DutyOptions("share-calls", None, None, 60.0, 0.0, "number", 40, 0.5)
+        duty = SingletonTaskOptions("share-calls", None, None, 60.0, 0.0, "number", 40, 0.5)
         fleet.configure({"calls": duty})
         fleet.share_calls("calls", duty, lambda: 2.5 + 10.0 * number)
         turns_options = TurnsOptions(1, 0.9, False, 0.0, 1, 1.0, 20.0, 60.0, "keep", None, None)
@@ -427,8 +427,8 @@
 def test_vote_file_of_earlier_version_is_read_and_written_the_same(name: str, tmp_path: pathlib.Path) -> None:
     case = VOTES["good"][name]
     shutil.copytree(GOLDEN / "vote" / name, tmp_path / "kept")
-    folder = vote_file.Folder(tmp_path / "kept")
-    folder.take()
+    folder = vote_file.VoteDirectory(tmp_path / "kept")
+    folder.lock()
     data = folder.read()
     assert data == (GOLDEN / "vote" / name / "vote").read_bytes()
     found = vote_file.decode(data, *case["of"])
@@ -437,7 +437,7 @@
     assert kept == kept_of(case["kept"])
     assert vote_file.encode(*case["of"], life, kept) == data
     folder.write(vote_file.encode(*case["of"], life, kept_of(case["kept"])))
-    folder.release()
+    folder.unlock()
     assert sorted(one.name for one in (tmp_path / "kept").iterdir()) == ["lock", "vote"]
     assert (tmp_path / "kept" / "vote").read_bytes() == data
 
@@ -446,7 +446,7 @@
 def test_vote_file_that_was_refused_is_refused_the_same(name: str) -> None:
     case = VOTES["refused"][name]
     data = (GOLDEN / "vote" / name / "vote").read_bytes()
-    with pytest.raises(vote_file.Refused) as refused:
+    with pytest.raises(vote_file.VoteFileError) as refused:
         vote_file.decode(data, *case["of"])
     assert str(refused.value) == case["why"]
 
@@ -527,7 +527,9 @@
     def meets(self, mark: str) -> list[Any]:
         """What a repeat meets, and the result where there is one."""
         found = self.kept.look_up(self.kept.key_digest("book", mark), 0.0)
-        how = {"execute": "run", "coalesce": "join", "fail": "write_off"}.get(found.outcome, str(found.outcome))
+        how = {"execute": "run", "coalesce": "join", "fail": "write_off"}.get(
+            found.outcome, str(found.outcome)
+        )
         if how != "answer":
             return [how, None]
         body = self.kept.fetch_result(99, found)
--- a/valeturn/cluster/node.py
+++ b/valeturn/cluster/node.py
@@ -15,15 +15,15 @@
 from ..transport.worker_thread import Helper
 from . import limits, singleton_tasks, task_processes, vote_file
 from .bootstrap import Bootstrap, voter_set_to_wire
-from .call_quota import Calls
-from .fencing import Fences
+from .call_quota import GRANT_MESSAGE, REQUEST_MESSAGE, CallQuota
+from .fencing import FencingTokens
 from .member_messages import ALIVE, LEFT, SUSPECTED
 from .member_table import STATE_NAMES, Effect
 from .membership import MemberIdentity, Membership
 from .peer_connections import LocalEndpoint, PeerConnections
 from .raft import ROLE_NAMES, Committed, RaftNode, Send
 from .replicated_state import ADD_VOTER, GRANT_LEASE, REMOVE_VOTER, ClusterState
-from .vote_persistence import Keeping
+from .vote_persistence import VotePersistence
 
 TICKS = 12  # a lease
 # of the lease between words of one that remembers nothing, and between facts for those that don't vote
@@ -43,14 +43,14 @@
     clock: object = boot_clock
     to_boot: object = float  # a moment of `clock` by the boot clock
     dial: object = connect
-    folder: object = vote_file.Folder
+    folder: object = vote_file.VoteDirectory
     wall: object = time.time  # for the number of a life alone
     peer_connections: object = PeerConnections
 
 
 class Fleet:
     def __init__(self, options, name, scheduler, count, log, seed, seams=None):
-        """Raises votes.Refused or OSError where this server can't take part."""
+        """Raises VoteFileError or OSError where this server can't take part."""
         self.seams = seams = seams or Seams()
         self.options, self.name, self.scheduler = options, name, scheduler
         self.count, self.log = count, log
@@ -59,7 +59,7 @@
         life, kept = int(1000 * self.seams.wall()), None
         if options.folder is not None:
             self.vote_folder = seams.folder(options.folder)
-            self.vote_folder.take()
+            self.vote_folder.lock()
             data = self.vote_folder.read()
             if data is not None:
                 found = vote_file.decode(data, options.name, name, options.listen)
@@ -77,15 +77,15 @@
         self.owner = self.make_owner(durable=kept)
         self.bootstrap = None
         if name in options.voters and self.owner.durable.state_lost and not self.owner.state.voters:
-            floor = 0 if options.folder is not None else int(seams.wall()) << limits.EPOCH
+            floor = 0 if options.folder is not None else int(seams.wall()) << limits.EPOCH_BITS
             self.bootstrap = Bootstrap(name, self.vote_life, floor, options.voters)
-        self.vote = Keeping(self.vote_folder, self.helper, self.encode_vote)
-        self.duties = singleton_tasks.Duties(name, self.vote_life, now)
-        self.fences = Fences()
+        self.vote = VotePersistence(self.vote_folder, self.helper, self.encode_vote)
+        self.singleton_tasks = singleton_tasks.SingletonTasks(name, self.vote_life)
+        self.fencing_tokens = FencingTokens()
         self.others = []  # subsystems on top: kinds, tick(now, term), each with messages of its own
-        self.calls = None  # its share of them, where a duty splits them
+        self.call_quota = None  # its share of them, where a duty splits them
         environment = {"VALETURN_SERVER": name, "VALETURN_FLEET": options.name}
-        self.runs = task_processes.Runs(scheduler, environment, self.run_ended)
+        self.task_processes = task_processes.TaskProcesses(scheduler, environment, self.run_ended)
         self.wanted = {}  # name -> life of those that would vote
         self.heard_facts = None  # what a server that does not vote was told: (term, facts, owner, when)
         self.told_at, self.told_facts = -1e9, {}  # name -> ((term, commit), when) that it was told last
@@ -124,7 +124,7 @@
         if self.silenced:
             return
         if self.vote.failed_at is not None:
-            if self.vote.wants_retry(now):
+            if self.vote.is_retry_due(now):
                 self.vote.write(self.owner.durable)
         else:
             self.carry(self.owner.tick(now))
@@ -138,10 +138,10 @@
             self.tell(now, term)
         if term is not None:
             self.admit(now)
-        self.carry_duties(self.duties.tick(now, term))
+        self.carry_duties(self.singleton_tasks.tick(now, term))
         self.tell_guards()
-        if self.calls is not None:
-            self.calls.tick(now)
+        if self.call_quota is not None:
+            self.call_quota.tick(now)
         for other in self.others:
             other.tick(now, term)
         if self.leaving and term is not None and self.handing is None:  # elected again meanwhile
@@ -168,10 +168,10 @@
     def acts(self, name):
         """The fence under which this server may have an effect for that duty at this moment, or None: to be
         asked after every wait and before every effect."""
-        duty = self.duties.duties.get(name)
-        if duty is None or not self.leads(self.clock()) or not duty.holds(self.owner.durable.term):
+        task = self.singleton_tasks.tasks.get(name)
+        if task is None or not self.leads(self.clock()) or not task.is_held(self.owner.durable.term):
             return None
-        return duty.fence
+        return task.fencing_token
 
     # ---- messages
 
@@ -226,10 +226,10 @@
             self.silenced = why
             self.log("fleet_silenced", {"why": why})
             now = self.clock()
-            self.carry_duties(self.duties.tick(now, None))
+            self.carry_duties(self.singleton_tasks.tick(now, None))
 
     def carry(self, effects):
-        for effect in self.vote.carry(effects):
+        for effect in self.vote.submit(effects):
             self.do(effect)
 
     def do(self, effect):
@@ -248,7 +248,7 @@
                     self.count("fleet.vote_failed")
                 elif self.vote.failed_at is not None:
                     self.log("fleet_vote_kept_again")
-                for effect in self.vote.written(self.clock(), result):
+                for effect in self.vote.write_finished(self.clock(), result):
                     self.do(effect)
 
     # ---- facts
@@ -258,12 +258,12 @@
         if told.command[0] == GRANT_LEASE:
             _, name, owner, life = told.command
             fence = told.state.task_lease(name).fencing_token
-            self.fences.passes(name, fence)
+            self.fencing_tokens.accept(name, fence)
             now = self.clock()
             if (owner, life) == (self.name, self.vote_life) and self.leads(now):
                 term = self.owner.durable.term
                 if self.owner.term_of(told.log_index) == term:
-                    self.carry_duties(self.duties.granted(now, term, name, fence))
+                    self.carry_duties(self.singleton_tasks.grant_committed(now, term, name, fence))
         if told.command[0] in (ADD_VOTER, REMOVE_VOTER):
             self.log(
                 "fleet_voters",
@@ -339,7 +339,9 @@
         self.founded_set = self.bootstrap.completed
         self.bootstrap = None
         voters = tuple((name, life) for name, life, _ in self.founded_set)
-        self.owner = self.make_owner(voters=voters, fencing_token=max(floor for _, _, floor in self.founded_set))
+        self.owner = self.make_owner(
+            voters=voters, fencing_token=max(floor for _, _, floor in self.founded_set)
+        )
         self.log("cluster_bootstrapped", {"voters": ",".join(name for name, _ in voters)})
 
     def admit(self, now):
@@ -366,13 +368,13 @@
             return
         self.heard_facts = term, facts, sender, now
         for name, _, _, fence in facts.task_leases:
-            self.fences.passes(name, fence)
+            self.fencing_tokens.accept(name, fence)
         if self.owner.may_vote() and (self.name, self.vote_life) not in facts.voters:
             self.forget()
 
     @staticmethod
     def epoch(fence):
-        return fence >> limits.EPOCH
+        return fence >> limits.EPOCH_BITS
 
     def forget(self):
         """The fleet was revived without this one: what it has kept is of before, and it votes anew."""
@@ -382,7 +384,9 @@
 
     def vote_anew(self):
         """In a life that has never voted."""
-        self.vote_life = self.duties.life = max(int(1000 * self.seams.wall()), self.vote_life + 1)
+        self.vote_life = self.singleton_tasks.incarnation = max(
+            int(1000 * self.seams.wall()), self.vote_life + 1
+        )
 
     def make_owner(self, **how):
         return RaftNode(self.name, self.vote_life, self.options.lease, self.chance, self.clock(), **how)
@@ -391,50 +395,50 @@
 
     def share_calls(self, name, options, need):
         """This server takes part in the split of the calls; need(): calls out that it could use now."""
-        self.calls = Calls(self, name, options, need)
+        self.call_quota = CallQuota(self, name, options, need)
 
     def on_need(self, now, sender, *fields):
-        if self.calls is not None:
-            self.calls.on_need(now, sender, *fields)
+        if self.call_quota is not None:
+            self.call_quota.on_request(now, sender, *fields)
 
     def on_share(self, now, sender, said):
-        if self.calls is not None:
-            self.calls.on_share(now, sender, said)
+        if self.call_quota is not None:
+            self.call_quota.on_grant(now, sender, said)
 
-    KINDS = {"blank": on_blank, "facts": on_facts, "need": on_need, "share": on_share}
+    KINDS = {"blank": on_blank, "facts": on_facts, REQUEST_MESSAGE: on_need, GRANT_MESSAGE: on_share}
 
     # ---- duties
 
     def configure(self, configured):
-        self.carry_duties(self.duties.put(self.clock(), configured))
+        self.carry_duties(self.singleton_tasks.configure(self.clock(), configured))
 
     def carry_duties(self, effects):
         now = self.clock()
         for effect in effects:
             if isinstance(effect, singleton_tasks.Propose):
-                self.propose(effect.fact)
-            elif isinstance(effect, singleton_tasks.Start):
+                self.propose(effect.entry)
+            elif isinstance(effect, singleton_tasks.StartCommand):
                 self.start_command(now, effect)
-            elif isinstance(effect, singleton_tasks.Stop):
-                self.runs.stop(effect.name)
+            elif isinstance(effect, singleton_tasks.StopCommand):
+                self.task_processes.stop(effect.task)
             else:
                 self.log(effect.event, effect.fields)
 
     def start_command(self, now, start):
         """At the last look at the lease: what is started has its fence in its environment."""
-        why = "lease over"
-        if self.acts(start.name) == start.fence:
-            why = self.runs.start(start.name, start.command, start.fence, start.patience)
-        if why is not None:
-            self.run_ended(start.name, {"code": None, "why": why, "tail": ""})
+        failure = singleton_tasks.CommandOutcome.without_exit("lease over")
+        if self.acts(start.task) == start.fencing_token:
+            failure = self.task_processes.start(*start)
+        if failure is not None:
+            self.run_ended(start.task, failure)
         self.tell_guards()
 
     def run_ended(self, name, outcome):
-        self.carry_duties(self.duties.ended(self.clock(), name, outcome))
+        self.carry_duties(self.singleton_tasks.command_ended(self.clock(), name, outcome))
 
     def tell_guards(self):
-        if self.runs and self.leads(self.clock()):
-            self.runs.lease(self.acts, self.seams.to_boot(self.owner.lease_until))
+        if self.task_processes.running and self.leads(self.clock()):
+            self.task_processes.extend_leases(self.acts, self.seams.to_boot(self.owner.lease_until))
 
     # ---- what operators ask
 
@@ -449,7 +453,7 @@
             return "no other voter has all that is committed"
         now = self.clock()
         self.handing = to or ""
-        self.carry_duties(self.duties.tick(now, None))
+        self.carry_duties(self.singleton_tasks.tick(now, None))
         self.go_on_handing_over(now, self.owner.durable.term)
         return None
 
@@ -458,7 +462,7 @@
         named is fit no more."""
         if term is None:
             self.handing = None
-        elif not self.runs:
+        elif not self.task_processes.running:
             fit = self.successors()
             if fit:
                 to = self.handing if self.handing in fit else fit[int(self.chance.share() * len(fit))]
@@ -509,7 +513,9 @@
         ):
             return f"there is an owner: {self.owner.leader}"
         _, facts, _ = self.facts()
-        floor = (self.epoch(max([facts.fencing_token, *self.fences.seen.values()])) + 1) << limits.EPOCH
+        floor = (
+            self.epoch(max([facts.fencing_token, *self.fencing_tokens.highest_seen.values()])) + 1
+        ) << limits.EPOCH_BITS
         self.vote_anew()
         self.bootstrap = None
         voters = ((self.name, self.vote_life),)
@@ -552,12 +558,12 @@
                 }
                 for m in sorted(members)
             ],
-            "duties": self.duties.figures(now),
+            "duties": self.singleton_tasks.status(now),
             "owners": [
                 {"duty": duty, "owner": one, "fence": fence} for duty, one, _, fence in facts.task_leases
             ],
-            "share": None if self.calls is None else self.calls.figures(now),
-            "split": self.calls.split_figures(now) if self.calls is not None and leads else None,
+            "share": None if self.call_quota is None else self.call_quota.status(now),
+            "split": self.call_quota.allocator_status(now) if self.call_quota is not None and leads else None,
             "links": len(self.peer_connections.open_connections),
             "elections": self.elections,
         }
@@ -575,8 +581,8 @@
             "links": len(self.peer_connections.open_connections),
             "doubt": self.membership.health.score,
             "elections": self.elections,
-            "fence_refused": self.fences.refused,
-            "share": -1 if self.calls is None else self.calls.usable(),
+            "fence_refused": self.fencing_tokens.rejected_count,
+            "share": -1 if self.call_quota is None else self.call_quota.available(),
         }
 
     # ---- the end
@@ -587,7 +593,7 @@
         if not self.leaving:
             self.leaving = True
             now = self.clock()
-            self.carry_duties(self.duties.tick(now, None))
+            self.carry_duties(self.singleton_tasks.tick(now, None))
             if self.leads(now):
                 self.hand_over()
 
@@ -608,8 +614,8 @@
             return
         self.depart()
         self.closed = True
-        self.runs.close_all()
+        self.task_processes.close_all()
         self.peer_connections.close_now()
         if self.helper is not None:
             self.helper.finish(max(0.01, patience))
-            self.vote_folder.release()
+            self.vote_folder.unlock()
--- a/valeturn/control/options.py
+++ b/valeturn/control/options.py
@@ -24,7 +24,9 @@
     value_places: Mapping[str, LocatedValue]
 
 
-def build(values: Mapping[str, Any], value_places: Mapping[str, LocatedValue]) -> tuple[ControlOptions, list[Fault]]:
+def build(
+    values: Mapping[str, Any], value_places: Mapping[str, LocatedValue]
+) -> tuple[ControlOptions, list[Fault]]:
     """Return the options of a section whose values have the right types, and what is wrong with them."""
     faults = []
     if len(values["socket"].encode()) > MAX_PATH_BYTES:
--- a/valeturn/degradation/conditions.py
+++ b/valeturn/degradation/conditions.py
@@ -129,7 +129,7 @@
 
 def _in_base_unit(number: str, unit: str | None, family: str, subject: str) -> float:
     """Return a number with a unit of `family` in the family's base unit."""
-    families: Mapping[str, Any] = FAMILIES
+    families: Mapping[str, Any] = UNITS_BY_DIMENSION
     units: Mapping[str, float] = families[family]
     if unit is None:
         raise InvalidValueError(
--- a/valeturn/degradation/options.py
+++ b/valeturn/degradation/options.py
@@ -8,7 +8,7 @@
 from ..admission.interface import Reduced, Settings
 from ..operator_config.grammar import Fault, LocatedValue
 from ..operator_config.schema import REQUIRED, Field, SectionSchema
-from ..operator_config.value_types import Quantity, Boolean, InvalidValueError, WholeNumber
+from ..operator_config.value_types import Boolean, InvalidValueError, Quantity, WholeNumber
 from .conditions import Comparison, Condition, ConditionType
 from .controller import DegradationLevel
 from .reachability import why_unreachable
--- a/valeturn/lab/fault_injection/virtual.py
+++ b/valeturn/lab/fault_injection/virtual.py
@@ -8,9 +8,9 @@
 import time
 
 from ...cluster import limits, node
-from ...cluster.options import FleetOptions
+from ...cluster.options import ClusterOptions
 from ...cluster.raft import CLOCK_DRIFT
-from ...cluster.task_options import DutyOptions
+from ...cluster.task_options import SingletonTaskOptions
 from ...transport.seeded_random import Chance
 from ..virtual import Timeline, percentile
 
@@ -45,7 +45,7 @@
         self.net, self.number, self.name, self.up = net, number, f"n{number}", True
         self.rate = 1 + 0.9 * CLOCK_DRIFT * (net.chance.share() - 0.5)
         self.cpu, self.need = 0.0, 4 * CAP / net.count * net.chance.share() ** 2
-        self.options = FleetOptions(
+        self.options = ClusterOptions(
             "lab",
             f"10.0.{number // 250}.{number % 250}:7700",
             tuple(f"10.0.0.{n}:7700" for n in range(3)),
@@ -73,7 +73,7 @@
                 peer_connections=lambda *words: VirtualLinks(self.net, *words),
             ),
         )
-        self.fleet.duties.put(self.clock(), {"calls": self.net.duty})
+        self.fleet.singleton_tasks.configure(self.clock(), {"calls": self.net.duty})
         self.fleet.share_calls("calls", self.net.duty, lambda: self.need)
         self.net.at(TICK * self.net.chance.share(), self.tick, self.fleet)
 
@@ -105,7 +105,7 @@
         for _ in range(8):
             self.chance.share()
         self.votes = min(count, limits.VOTERS)
-        self.duty = DutyOptions("share-calls", None, None, 60.0, 0.0, "number", CAP, ROUND)
+        self.duty = SingletonTaskOptions("share-calls", None, None, 60.0, 0.0, "number", CAP, ROUND)
         self.by_address, self.sent, self.over = {}, 0, 0
         self.members = [Member(self, number) for number in range(count)]
         self.by_name = {member.name: member for member in self.members}
@@ -131,7 +131,7 @@
         return next((m for m in self.members if m.up and m.fleet.leads(m.clock())), None)
 
     def check_shares(self):
-        total = sum(m.fleet.calls.usable() for m in self.members if m.up)
+        total = sum(m.fleet.call_quota.available() for m in self.members if m.up)
         self.over += total > CAP + 1e-6
         return total
 
--- a/valeturn/metrics/options.py
+++ b/valeturn/metrics/options.py
@@ -39,7 +39,9 @@
     value_places: Mapping[str, LocatedValue]
 
 
-def build(values: Mapping[str, Any], value_places: Mapping[str, LocatedValue]) -> tuple[MetricsOptions, list[Fault]]:
+def build(
+    values: Mapping[str, Any], value_places: Mapping[str, LocatedValue]
+) -> tuple[MetricsOptions, list[Fault]]:
     """Return the options of a section whose values have the right types; nothing more can be wrong here."""
     return MetricsOptions(values["file"], values["every"], value_places), []
 
--- a/valeturn/server/commands.py
+++ b/valeturn/server/commands.py
@@ -62,7 +62,9 @@
 
     try:
         receive = receive or loader.receive_all
-        options: OperatorConfig = loader.load_in_child_process(path, loaded, components.options_modules, receive)
+        options: OperatorConfig = loader.load_in_child_process(
+            path, loaded, components.options_modules, receive
+        )
         return options
     except loader.OperatorConfigError as error:
         raise OperatorFileError(str(error)) from None
--- a/valeturn/server/components/cluster.py
+++ b/valeturn/server/components/cluster.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ...cluster.node import Fleet
-from ...cluster.vote_file import Refused
+from ...cluster.vote_file import VoteFileError
 from ...control import answers, requests
 from ..configuration import ConfigurationError
 from . import Part as Base
@@ -19,7 +19,7 @@
             self.fleet = Fleet(
                 built, c.name, server.scheduler, server.counters.add, server.log, c.seed, server.seams.fleet
             )
-        except Refused as refused:
+        except VoteFileError as refused:
             raise ConfigurationError("fleet", f"{built.folder}: {refused}") from None
         except OSError as error:
             raise ConfigurationError(
@@ -51,11 +51,11 @@
     def answer(self, request):
         fleet = self.fleet
         if isinstance(request, requests.FencedRequest):
-            if fleet.fences.passes("control." + request.task, request.token):
+            if fleet.fencing_tokens.accept("control." + request.task, request.token):
                 return None
+            highest_seen = fleet.fencing_tokens.highest_seen["control." + request.task]
             return answers.encode_rejection(
-                f"{request.token} is lower than {fleet.fences.seen['control.' + request.task]}, "
-                "which was seen here: another has taken over"
+                f"{request.token} is lower than {highest_seen}, which was seen here: another has taken over"
             )
         if not isinstance(request, requests.ClusterRequest):
             return None
--- a/valeturn/server/components/singleton_tasks.py
+++ b/valeturn/server/components/singleton_tasks.py
@@ -8,7 +8,7 @@
 
 def sharing_of(duties):
     """(name, options) of the duty that shares the calls, or None."""
-    return next(((name, one) for name, one in duties.items() if one.do == "share-calls"), None)
+    return next(((name, one) for name, one in duties.items() if one.kind == "share-calls"), None)
 
 
 class Part(Base):
@@ -22,7 +22,7 @@
         found = sharing_of(built)
         if found is not None:
             self.fleet.share_calls(*found, lambda: self.sharing.need(server.core.at_calls()))
-            self.sharing = Sharing(self.fleet.calls.usable)
+            self.sharing = Sharing(self.fleet.call_quota.available)
 
     def takes(self, built):
         """All but the sharing of calls, of which all servers must hold the same cap: that wants restarts."""
