--- a/tests/digests/drain_schedule.py
+++ b/tests/digests/drain_schedule.py
@@ -9,40 +9,26 @@
 from collections.abc import Callable
 
 from valeturn.cluster.raft import Facts
-from valeturn.maintenance.drain_schedule import (
-    BACK,
-    BEGAN,
-    CHOSEN,
-    DRAINING,
-    EMPTIED,
-    EMPTY,
-    GO,
-    GONE,
-    LATE,
-    NEEDED,
-    STATES,
-    TAKEN_BACK,
-    UNTAKEN,
-    WAITING,
-    WARM,
-    Limits,
-    Order,
-    Row,
-    View,
-    read_row,
-    seen,
+from valeturn.maintenance.drain_schedule import DrainSchedule, MaintenanceLimits, ScheduleInput
+from valeturn.maintenance.records import MaintenanceRecord, RecordState, decode_record
+from valeturn.maintenance.server_view import (
+    MemberView,
+    ServerView,
+    capacity_without,
+    merge_report,
+    total_load,
 )
 
-INPUTS = (CHOSEN, BEGAN, UNTAKEN, EMPTIED, GO, NEEDED, GONE, BACK, WARM, LATE, TAKEN_BACK)
+INPUTS = tuple(ScheduleInput)
 STEPS = 2400
 LEASE = 2.0
 LASTS = 3.0
 ZONES = ("east", "west", "-")
 LIMITS = (
-    Limits(2, 0.5, True, 0.2, 5, 20.0, False),
-    Limits(3, 0.4, False, 0.1, 2, 10.0, True),
-    Limits(1, 0.1, False, 0.3, 5, 15.0, True),
-    Limits(4, 0.9, True, 0.0, 0, 5.0, False),
+    MaintenanceLimits(2, 0.5, True, 0.2, 5, 20.0, False),
+    MaintenanceLimits(3, 0.4, False, 0.1, 2, 10.0, True),
+    MaintenanceLimits(1, 0.1, False, 0.3, 5, 15.0, True),
+    MaintenanceLimits(4, 0.9, True, 0.0, 0, 5.0, False),
 )
 
 
@@ -59,7 +45,7 @@
         self.doubted = False
         self.strained = False
         self.listed = True
-        self.doing = WAITING
+        self.doing = RecordState.WAITING
         self.fence = 0
         self.warm = 1.0
         self.answers = 50
@@ -67,7 +53,7 @@
         self.silent_until = 0.0
         self.deaf_until = 0.0
         self.comes_back_at = 0.0
-        self.report: View | None = None
+        self.report: ServerView | None = None
 
     def ends(self, now: float, most: float) -> None:
         """End this life; another begins after a while."""
@@ -78,7 +64,7 @@
         """Begin another life, cold."""
         self.alive = True
         self.life += 1
-        self.doing = WAITING
+        self.doing = RecordState.WAITING
         self.fence = 0
         self.warm = 0.3
         self.answers = 0
@@ -90,12 +76,12 @@
             self.begins()
         self.warm = min(1.0, self.warm + 0.05)
         self.answers += chance.choice([0, 0, 1])
-        if self.doing == DRAINING and chance.random() < 0.1:
-            self.doing = EMPTY
+        if self.doing == RecordState.DRAINING and chance.random() < 0.1:
+            self.doing = RecordState.DRAINED
 
-    def view(self, now: float) -> View:
+    def view(self, now: float) -> ServerView:
         """Return what it reports now."""
-        return View(
+        return ServerView(
             self.name,
             self.zone,
             self.life,
@@ -115,8 +101,8 @@
         """Do as the owner says, mostly."""
         if now < self.deaf_until or self.chance.random() < 0.15:
             return
-        if verb == "out" and self.doing == WAITING:
-            self.doing = DRAINING
+        if verb == "out" and self.doing == RecordState.WAITING:
+            self.doing = RecordState.DRAINING
             self.fence = fence
         elif verb == "work":
             self.ends(now, 40.0)
@@ -135,11 +121,11 @@
         self.servers = [Server(chance, number) for number in range(7)]
         self.facts = Facts()
         self.limits = chance.choice(LIMITS)
-        self.order = Order(self.limits, LEASE, LASTS, self.now)
+        self.order = DrainSchedule(self.limits, LEASE, LASTS, self.now)
 
-    def rows(self) -> list[Row]:
+    def rows(self) -> list[MaintenanceRecord]:
         """Return the requests as the log has them."""
-        return [read_row(row) for row in self.facts.turns]
+        return [decode_record(row) for row in self.facts.turns]
 
     def apply(self, fact: tuple) -> None:
         """Commit one fact."""
@@ -153,24 +139,24 @@
             return
         self.number += 1
         work = chance.choice([5.0, 30.0])
-        row = Row(name, self.number, "reboot", chance.random() < 0.3, work)
-        self.apply(("turn", row.packed()))
+        row = MaintenanceRecord(name, self.number, "reboot", chance.random() < 0.3, work)
+        self.apply(("turn", row.encode()))
 
     def take_back(self) -> None:
         """Let an operator want one turn no more."""
         rows = self.rows()
         if self.chance.random() < 0.5:
-            rows = [row for row in rows if row.state != WAITING]
+            rows = [row for row in rows if row.state != RecordState.WAITING]
         if rows:
             row = self.chance.choice(rows)
-            self.apply(("turn", row._replace(unwanted=True).packed()))
+            self.apply(("turn", row._replace(cancelled=True).encode()))
 
     def serve_again(self) -> None:
         """Let one that drains or is empty serve again, as no server should, and hear nothing for a while."""
-        out = [server for server in self.servers if server.doing != WAITING]
+        out = [server for server in self.servers if server.doing != RecordState.WAITING]
         if out:
             server = self.chance.choice(out)
-            server.doing = WAITING
+            server.doing = RecordState.WAITING
             server.deaf_until = self.now + self.chance.uniform(0.0, 20.0)
 
     def events(self) -> None:
@@ -199,7 +185,7 @@
             server.listed = chance.random() < 0.7
         elif kind < 0.263:
             self.limits = chance.choice(LIMITS)
-            self.order = Order(self.limits, LEASE, LASTS, self.now)
+            self.order = DrainSchedule(self.limits, LEASE, LASTS, self.now)
         elif kind < 0.27:
             for one in self.servers:
                 one.silent_until = self.now + chance.uniform(0.0, 12.0)
@@ -216,11 +202,11 @@
                 continue
             server.report = server.view(self.now)
             row = next((one for one in rows if one.server == server.name), None)
-            verb, fence = self.order.word(self.now, row, server.report)
+            verb, fence = self.order.response_to(self.now, row, server.report)
             self.record([verb, fence])
             server.told(self.now, verb, fence)
 
-    def views(self) -> dict[str, View]:
+    def views(self) -> dict[str, ServerView]:
         """Return the servers as the owner has them; the membership may be behind a report or ahead of it."""
         views = {}
         for server in self.servers:
@@ -230,53 +216,54 @@
             life = server.life
             if self.chance.random() < 0.03:
                 life = 0
-            views[server.name] = seen(server.name, server.report, server.zone, life, alive, server.doubted)
+            member = MemberView(server.zone, life, alive, server.doubted)
+            views[server.name] = merge_report(server.name, server.report, member)
         return views
 
     def look(self) -> None:
         """Let the owner look, and commit what it proposes."""
         views = self.views()
-        facts = self.order.look(self.now, self.rows(), views, self.facts.held)
-        self.record([list(fact) for fact in facts])
-        self.record([[name, why] for name, why in self.order.reasons.items()])
+        facts = self.order.plan(self.now, self.rows(), views, self.facts.held)
+        self.record([list(fact.encode()) for fact in facts])
+        self.record([[name, why] for name, why in self.order.wait_reasons.items()])
         for fact in facts:
-            self.apply(fact)
+            self.apply(fact.encode())
 
     def figures(self) -> None:
         """Record the log's rows and what the owner counts with."""
         views = self.views()
         rows = self.rows()
-        known = self.order.known(self.now, views)
-        out = self.order.out(rows, views)
+        known = self.order.reporting_servers(self.now, views)
+        out = self.order.unavailable_servers(rows, views)
         self.record([list(row) for row in self.facts.turns])
         self.record([[name, list(view)] for name, view in views.items()])
-        self.record([self.facts.fence, self.order.allowed(views), list(known), sorted(out)])
-        self.record([self.order.capacity(known, out), self.order.load(known)])
+        self.record([self.facts.fence, self.order.unavailable_limit(views), list(known), sorted(out)])
+        self.record([capacity_without(known, out), total_load(known)])
 
 
 def refused(state: int) -> bool:
     """Return whether a row with this state is refused."""
-    said = Row("s0", 1, "reboot", False, 5.0, state).packed()
+    said = MaintenanceRecord("s0", 1, "reboot", False, 5.0, state).encode()
     try:
-        read_row(said)
+        decode_record(said)
     except ValueError:
         return True
     return False
 
 
-def pairs(order: Order, record: Callable[[object], None]) -> None:
+def pairs(order: DrainSchedule, record: Callable[[object], None]) -> None:
     """Record the step of every pair of state and input, those that change nothing too."""
-    for state in range(len(STATES)):
-        row = Row("s0", 1, "reboot", False, 5.0, state, 3, 2, 1)
+    for state in range(len(RecordState)):
+        row = MaintenanceRecord("s0", 1, "reboot", False, 5.0, state, 3, 2, 1)
         for given in INPUTS:
-            record([list(fact) for fact in order.step(row, given, 4)])
+            record([list(fact.encode()) for fact in order.step(row, given, 4)])
 
 
 def play(seed: int, record: Callable[[object], None]) -> None:
     """Play some thousand steps and record facts, reasons and words."""
     chance = random.Random(seed)
     world = World(chance, record)
-    for state in (-1, len(STATES)):
+    for state in (-1, len(RecordState)):
         record(refused(state))
     pairs(world.order, record)
     for step in range(STEPS):
--- a/tests/lab/test_fault_injection_maintenance.py
+++ b/tests/lab/test_fault_injection_maintenance.py
@@ -99,7 +99,7 @@
     await out(fleet, [first], owner)
 
     async def drains():
-        return any(event == "turn_out" for _, event, _ in events(fleet.servers[first]))
+        return any(event == "drain_started" for _, event, _ in events(fleet.servers[first]))
 
     await fleet.until(drains)
     fleet.stop(first)
@@ -120,14 +120,14 @@
     await out(fleet, [other], owner)
 
     async def drains():
-        return any(event == "turn_out" for _, event, _ in events(fleet.servers[other]))
+        return any(event == "drain_started" for _, event, _ in events(fleet.servers[other]))
 
     await fleet.until(drains)
     await fleet.ask(owner, {"do": "turns", "what": "back", "servers": [other]}, 8.0)
     before = fleet.servers[other].process.pid
     await until_none_left(fleet)
     seen = [event for _, event, _ in events(fleet.servers[other])]
-    assert seen.count("listening") == 2 and "turn_hook" not in seen
+    assert seen.count("listening") == 2 and "maintenance_hook_ended" not in seen
     assert fleet.servers[other].process.pid == before and fleet.servers[other].process.returncode is None
 
 
@@ -139,7 +139,7 @@
     await out(fleet, [other], owner)
     await until_none_left(fleet)
     supervisor.task.cancel()
-    tails = [rest for _, event, rest in events(fleet.servers[other]) if event == "turn_hook"]
+    tails = [rest for _, event, rest in events(fleet.servers[other]) if event == "maintenance_hook_ended"]
     assert len(tails) == 2 and "patched" in tails[0] and "back" in tails[1] and "code=0" in tails[0], tails
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -24,8 +24,8 @@
 from valeturn.cluster.task_options import DutyOptions
 from valeturn.control import requests
 from valeturn.lab import restarts
-from valeturn.maintenance.coordinator import Measured, Turns
-from valeturn.maintenance.options import TurnsOptions
+from valeturn.maintenance.coordinator import MaintenanceCoordinator, ServerMeasurement
+from valeturn.maintenance.options import MaintenanceOptions
 from valeturn.result_store import commands as store_commands
 from valeturn.result_store import entry_states, records, snapshot
 from valeturn.result_store.directory import Files
@@ -122,9 +122,9 @@
         duty = DutyOptions("share-calls", None, None, 60.0, 0.0, "number", 40, 0.5)
         fleet.configure({"calls": duty})
         fleet.share_calls("calls", duty, lambda: 2.5 + 10.0 * number)
-        turns_options = TurnsOptions(1, 0.9, False, 0.0, 1, 1.0, 20.0, 60.0, "keep", None, None)
-        measured = Measured(2, 0.25, 1.0, False, 7)
-        self.turns[name] = Turns(
+        turns_options = MaintenanceOptions(1, 0.9, False, 0.0, 1, 1.0, 20.0, 60.0, "keep", None, None)
+        measured = ServerMeasurement(2, 0.25, 1.0, False, 7)
+        self.turns[name] = MaintenanceCoordinator(
             fleet, turns_options, lambda: measured, lambda: self.drained.append(name), ignore
         )
         self.fleets[name] = fleet
@@ -216,20 +216,20 @@
     network.run(12.0)
     # Machines go out for work.
     asked = network.turns["n3"]
-    assert asked.ask(["n3"], "kernel", True, 60.0) is None
+    assert asked.request_maintenance(["n3"], "kernel", True, 60.0) is None
     network.run(3.0)
     assert network.drained == ["n3"]
-    asked.drained()
+    asked.wait_for_maintenance()
     network.run(1.0)
     network.stop("n3")
     network.run(12.0)
     network.start("n3")
     network.run(8.0)
     asked = network.turns["n3"]
-    assert asked.hold(True) is None
-    assert asked.ask(["n3"], "disk", False, 30.0) is None
-    assert asked.take_back(["n3"]) is None
-    assert asked.hold(False) is None
+    assert asked.pause_grants(True) is None
+    assert asked.request_maintenance(["n3"], "disk", False, 30.0) is None
+    assert asked.cancel_maintenance(["n3"]) is None
+    assert asked.pause_grants(False) is None
     network.run(1.0)
     # The owner hands over, and one leaves.
     assert network.fleets[network.owner()].hand_over() is None
--- a/valeturn/lab/fault_injection/turns.py
+++ b/valeturn/lab/fault_injection/turns.py
@@ -47,8 +47,8 @@
     for name, server in fleet.servers.items():
         began = None
         for at, event, rest in events(server):
-            if event == "turn_out":
-                began = at, int(rest.split("fence=")[1].split()[0])
+            if event == "drain_started":
+                began = at, int(rest.split("fencing_token=")[1].split()[0])
             elif event == "listening" and began is not None:
                 out.append((name, began[0], at, began[1]))
                 began = None
--- a/valeturn/lab/turns.py
+++ b/valeturn/lab/turns.py
@@ -10,7 +10,9 @@
 import math
 
 from ..cluster.raft import Facts, fact_of
-from ..maintenance import drain_schedule as od
+from ..maintenance.drain_schedule import DrainSchedule, MaintenanceLimits
+from ..maintenance.records import MaintenanceRecord, RecordState, RecordUpdated, decode_record
+from ..maintenance.server_view import ServerView
 from ..transport.seeded_random import Chance
 from .virtual import percentile
 
@@ -22,7 +24,15 @@
     20.0,
     0.3,
 )  # s to empty, of work, of warming up; share of its speed at first
-LIMITS = od.Limits(most=40, share=0.2, one_zone=True, spare=0.05, answers=20, idle=30.0, keep=True)
+LIMITS = MaintenanceLimits(
+    max_unavailable=40,
+    max_unavailable_share=0.2,
+    single_zone=True,
+    spare_capacity_share=0.05,
+    min_answer_count=20,
+    idle_proof_time=30.0,
+    keep_missing=True,
+)
 
 
 class Machine:
@@ -30,7 +40,7 @@
 
     def __init__(self, number):
         self.name, self.zone, self.life = f"n{number}", f"z{number % 3}", 1
-        self.doing, self.fence, self.at, self.there, self.done = od.WAITING, 0, -1e9, True, False
+        self.doing, self.fence, self.at, self.there, self.done = RecordState.WAITING, 0, -1e9, True, False
         self.born, self.answers, self.lost = -1e9, 1000, False
 
     def warm(self, now):
@@ -38,27 +48,27 @@
 
     def capacity(self, now):
         """Cores that serve: one that drains serves what it has read alone."""
-        return self.warm(now) if self.there and self.doing == od.WAITING else 0.0
+        return self.warm(now) if self.there and self.doing == RecordState.WAITING else 0.0
 
     def step(self, now):
-        if self.doing == od.DRAINING and now - self.at >= DRAIN:
-            self.doing, self.at = od.EMPTY, now
+        if self.doing == RecordState.DRAINING and now - self.at >= DRAIN:
+            self.doing, self.at = RecordState.DRAINED, now
         if not self.there and now - self.at >= WORK:
             self.done = self.done or not self.lost
-            self.there, self.lost, self.doing, self.life = True, False, od.WAITING, self.life + 1
+            self.there, self.lost, self.doing, self.life = True, False, RecordState.WAITING, self.life + 1
             self.born, self.answers = now, 0
-        if self.there and self.doing == od.WAITING:
+        if self.there and self.doing == RecordState.WAITING:
             self.answers += 5
 
     def out(self, now, fence=0):
-        self.doing, self.fence, self.at = od.DRAINING, fence, now
+        self.doing, self.fence, self.at = RecordState.DRAINING, fence, now
 
     def work(self, now):
         self.there, self.at = False, now
 
     def lose(self, now):
         """It dies unasked, and is back cold after as long as work takes."""
-        if self.there and self.doing == od.WAITING:
+        if self.there and self.doing == RecordState.WAITING:
             self.there, self.lost, self.at = False, True, now
 
 
@@ -111,27 +121,31 @@
 
 def by_order(release, limits=LIMITS, most=36000.0):
     """The owner's own decision, with committed facts a moment later."""
-    order, facts, reports = od.Order(limits, LEASE, LASTS, 0.0), Facts(), {}
+    order, facts, reports = DrainSchedule(limits, LEASE, LASTS, 0.0), Facts(), {}
     for number, machine in enumerate(release.machines):
         facts = facts.apply(
-            fact_of(("turn", od.Row(machine.name, number + 1, "release", False, 3 * WORK).packed()))
+            fact_of(
+                RecordUpdated(
+                    MaintenanceRecord(machine.name, number + 1, "release", False, 3 * WORK)
+                ).encode()
+            )
         )
     while not release.all_done() and release.now < most:
         release.step()
         now = release.now
-        rows = {row[0]: od.read_row(row) for row in facts.turns}
+        rows = {row[0]: decode_record(row) for row in facts.turns}
         for machine in release.machines:
             if not machine.there:
-                reports[machine.name] = reports[machine.name]._replace(there=False)
+                reports[machine.name] = reports[machine.name]._replace(alive=False)
                 continue
-            reports[machine.name] = view = od.View(
+            reports[machine.name] = view = ServerView(
                 machine.name,
                 machine.zone,
                 machine.life,
                 True,
                 False,
                 1.0,
-                release.busy if machine.doing == od.WAITING else 0.0,
+                release.busy if machine.doing == RecordState.WAITING else 0.0,
                 machine.warm(now),
                 release.busy > 0.99,
                 machine.answers,
@@ -139,15 +153,15 @@
                 machine.fence,
                 now,
             )
-            verb, fence = order.word(now, rows.get(machine.name), view)
-            if verb == "out" and machine.doing == od.WAITING:
+            verb, fence = order.response_to(now, rows.get(machine.name), view)
+            if verb == "out" and machine.doing == RecordState.WAITING:
                 machine.out(now, fence)
-            elif verb == "work" and machine.doing == od.EMPTY:
+            elif verb == "work" and machine.doing == RecordState.DRAINED:
                 machine.work(now)
             elif verb == "back":
-                machine.doing, machine.life, machine.born = od.WAITING, machine.life + 1, now
-        for fact in order.look(now, list(rows.values()), reports, facts.held):
-            facts = facts.apply(fact_of(fact))
+                machine.doing, machine.life, machine.born = RecordState.WAITING, machine.life + 1, now
+        for entry in order.plan(now, list(rows.values()), reports, facts.held):
+            facts = facts.apply(fact_of(entry.encode()))
     return release.figures()
 
 
@@ -157,9 +171,9 @@
     while not release.all_done() and release.now < most:
         release.step()
         for machine in out:
-            if machine.there and machine.doing == od.WAITING and not machine.done:
+            if machine.there and machine.doing == RecordState.WAITING and not machine.done:
                 machine.out(release.now)
-            if machine.doing == od.EMPTY and machine.there:
+            if machine.doing == RecordState.DRAINED and machine.there:
                 machine.work(release.now)
         if out and all(m.done and m.warm(release.now) >= 1 for m in out):
             out, free_at = [], release.now + pause
--- a/valeturn/maintenance/__init__.py
+++ b/valeturn/maintenance/__init__.py
@@ -1,5 +1,6 @@
-"""Machines go out for work in an order that the servers settle among themselves, on top of `cluster`.
+"""Take the servers of a cluster into maintenance one after another, on top of `cluster`.
 
-`order` decides at the owner who goes next, `place` at each server what it does about that; both without I/O.
-docs/design/turns.md has the ways weighed.
+`drain_schedule` decides at the cluster's leader which server is drained next, and `local_drain` decides on
+each server what it does about that; both do no I/O. `coordinator` connects them with the cluster. The
+alternatives that were weighed stand in docs/design/turns.md.
 """
--- a/valeturn/maintenance/commands.py
+++ b/valeturn/maintenance/commands.py
@@ -1,99 +1,147 @@
-"""`valeturn fleet out|back|turns|hold|go-on`: machines that go out for work."""
+"""The commands `valeturn fleet out|back|turns|hold|go-on`: take servers into maintenance."""
 
 from __future__ import annotations
 
 import json
 import sys
 import time
+from typing import Any
 
 from ..control import client, requests
 from ..operator_config.value_types import Quantity, Wants
-
-REFUSED, OVERDUE = 3, 4  # exit codes
-
-
-def seconds(given, name):
-    """Of an option, or None. Raises Wants."""
-    return None if given[name] is None else Quantity("a time", 1.0, requests.MOST_WORK).read(given[name])
+from .records import STATE_TEXTS, RecordState
+
+EXIT_UNREACHABLE = 1
+EXIT_USAGE = 2
+EXIT_REFUSED = 3
+EXIT_OVERDUE = 4
+
+REQUEST_TIMEOUT = 10.0
+"""Seconds for the server's answer: twice what a request may take to be committed."""
+POLL_INTERVAL = 0.3
+"""Seconds between two questions for the status."""
+LISTING_ACTIONS = ("out", "back")
+"""Actions whose answer lists the servers concerned."""
+DRAINED_STATES = tuple(
+    STATE_TEXTS[state]
+    for state in (RecordState.IN_MAINTENANCE, RecordState.RETURNING, RecordState.WARMING_UP)
+)
+"""States in a server's status that it has only after it was drained."""
+
+
+def parse_duration(arguments: dict[str, Any], option: str) -> float | None:
+    """Return an option's duration in seconds, or None where it is not given.
+
+    Raises:
+        Wants: The text is no duration, or it is out of range.
+    """
+    if arguments[option] is None:
+        return None
+    duration: float = Quantity("a time", 1.0, requests.MOST_WORK).read(arguments[option])
+    return duration
+
+
+def run(arguments: dict[str, Any]) -> int:
+    """Carry out the command that docopt has parsed and return its exit code."""
+    socket = arguments["SOCKET"]
+    path = socket[0] if isinstance(socket, list) else socket
+    if arguments["turns"]:
+        return show(path, arguments["--json"])
+    try:
+        work_duration = parse_duration(arguments, "--work")
+        wait_time = parse_duration(arguments, "--wait")
+    except Wants as error:
+        print(f"valeturn: {error.args[1]}", file=sys.stderr)
+        return EXIT_USAGE
+    action = next(action for action in requests.TURNS if arguments[action])
+    answer = client.ask(path, build_request(arguments, action, work_duration), REQUEST_TIMEOUT)
+    if not answer["good"]:
+        print(f"{path}: {answer['why']}", file=sys.stderr)
+        return EXIT_REFUSED
+    done = f"{action}: {', '.join(answer['servers'])}" if action in LISTING_ACTIONS else "done"
+    print(f"{path}: {done}")
+    if action == "out" and wait_time is not None:
+        return wait_until_drained(path, set(answer["servers"]), wait_time)
+    return 0
 
 
-def run(given):
-    """The exit code for docopt's words."""
-    path = given["SOCKET"][0] if isinstance(given["SOCKET"], list) else given["SOCKET"]
-    if given["turns"]:
-        return show(path, given["--json"])
-    what = next(word for word in requests.TURNS if given[word])
-    try:
-        work, wait = seconds(given, "--work"), seconds(given, "--wait")
-    except Wants as wants:
-        print(f"valeturn: {wants.args[1]}", file=sys.stderr)
-        return 2
-    names = [name.strip() for name in (given["NAMES"] or "").split(",") if name.strip()]
+def build_request(arguments: dict[str, Any], action: str, work_duration: float | None) -> dict[str, Any]:
+    """Return the control request for an action."""
+    names = [name.strip() for name in (arguments["NAMES"] or "").split(",")]
     request = {
         "do": "turns",
-        "what": what,
-        "servers": names,
-        "zone": given["--zone"],
-        "why": given["--for"] or "",
-        "urgent": bool(given["--urgent"]),
+        "what": action,
+        "servers": [name for name in names if name],
+        "zone": arguments["--zone"],
+        "why": arguments["--for"] or "",
+        "urgent": bool(arguments["--urgent"]),
     }
-    got = client.ask(path, {**request, **({} if work is None else {"work": work})}, 10.0)
-    if not got["good"]:
-        print(f"{path}: {got['why']}", file=sys.stderr)
-        return REFUSED
-    print(f"{path}: " + (f"{what}: {', '.join(got['servers'])}" if what in ("out", "back") else "done"))
-    return until_empty(path, set(got["servers"]), wait) if what == "out" and wait is not None else 0
-
-
-def turns_of(path):
-    got = client.ask(path, {"do": "status"})
-    return got["status"].get("turns") if got["good"] else None
-
-
-def until_empty(path, servers, wait):
-    """Each of them has been empty, or is back already: seen at this server, or the next that is asked."""
-    end, done = time.monotonic() + wait, set()
-    while time.monotonic() < end:
-        turns = turns_of(path)
-        if turns is not None:
-            states = {row["server"]: row for row in turns["rows"]}
-            done |= {
-                name
-                for name in servers
-                if name not in states or states[name]["state"] in ("in work", "coming back", "warming")
+    if work_duration is not None:
+        request["work"] = work_duration
+    return request
+
+
+def maintenance_status(path: str) -> dict[str, Any] | None:
+    """Return the status of maintenance, or None where the server can't be asked or has none."""
+    answer = client.ask(path, {"do": "status"})
+    status: dict[str, Any] | None = answer["status"].get("turns") if answer["good"] else None
+    return status
+
+
+def wait_until_drained(path: str, servers: set[str], wait_time: float) -> int:
+    """Wait until each server has been drained, or is back already, and return the exit code.
+
+    Args:
+        path: The control socket to ask.
+        servers: Names.
+        wait_time: Seconds.
+    """
+    deadline = time.monotonic() + wait_time
+    drained: set[str] = set()
+    while time.monotonic() < deadline:
+        status = maintenance_status(path)
+        if status is not None:
+            records = {record["server"]: record for record in status["rows"]}
+            drained |= {
+                name for name in servers if name not in records or records[name]["state"] in DRAINED_STATES
             }
-            if any(states[name]["unwanted"] for name in servers - done):
-                return REFUSED
-            if done >= servers:
+            if any(records[name]["unwanted"] for name in servers - drained):
+                return EXIT_REFUSED
+            if drained >= servers:
                 return 0
-        time.sleep(0.3)
-    print(f"{path}: not empty in time: {', '.join(sorted(servers - done))}", file=sys.stderr)
-    return OVERDUE
+        time.sleep(POLL_INTERVAL)
+    print(f"{path}: not empty in time: {', '.join(sorted(servers - drained))}", file=sys.stderr)
+    return EXIT_OVERDUE
 
 
-def show(path, as_json):
-    turns = turns_of(path)
-    if turns is None:
+def show(path: str, as_json: bool) -> int:
+    """Print the status of maintenance and return the exit code."""
+    status = maintenance_status(path)
+    if status is None:
         print(f"{path}: no turns are configured, or it can't be asked", file=sys.stderr)
-        return 1
-    print(json.dumps(turns, indent=2) if as_json else "\n".join(human(turns)))
+        return EXIT_UNREACHABLE
+    print(json.dumps(status, indent=2) if as_json else "\n".join(status_lines(status)))
     return 0
 
 
-def human(turns):
-    """Who is out, who is next and why one waits, for a tired person."""
-    lines = [
-        f"owner {turns['owner'] or 'NONE'}"
-        + (", turns are HELD: nobody else goes out" if turns["held"] else "")
+def status_lines(status: dict[str, Any]) -> list[str]:
+    """Return the status in lines: who leads, which servers are unavailable, and why others wait."""
+    paused = ", turns are HELD: nobody else goes out" if status["held"] else ""
+    lines = [f"owner {status['owner'] or 'NONE'}{paused}"]
+    lines += [record_line(record) for record in status["rows"]]
+    if not status["rows"]:
+        lines.append("  nobody has asked to go out")
+    return lines
+
+
+def record_line(record: dict[str, Any]) -> str:
+    """Return one request's line of the status."""
+    duration = "" if record["for_s"] is None else f" for {record['for_s']:.0f} s"
+    notes = [
+        (record["late"], ", LATE"),
+        (record["unwanted"], ", taken back"),
+        (record["urgent"], ", urgent"),
     ]
-    for row in turns["rows"]:
-        since = "" if row["for_s"] is None else f" for {row['for_s']:.0f} s"
-        lines.append(
-            f"  {row['server']:<20} {row['state']}{since}"
-            + (", LATE" if row["late"] else "")
-            + (", taken back" if row["unwanted"] else "")
-            + (", urgent" if row["urgent"] else "")
-            + f" ({row['for']})"
-            + (f": {row['why']}" if row["why"] else "")
-        )
-    return lines if turns["rows"] else [*lines, "  nobody has asked to go out"]
+    flags = "".join(text for applies, text in notes if applies)
+    wait_reason = f": {record['why']}" if record["why"] else ""
+    return f"  {record['server']:<20} {record['state']}{duration}{flags} ({record['for']}){wait_reason}"
--- a/valeturn/maintenance/coordinator.py
+++ b/valeturn/maintenance/coordinator.py
@@ -1,292 +1,302 @@
-"""A server's part in the order of turns, on its fleet: reports, words, requests; the owner's looks."""
+"""Connect a server's maintenance with its cluster: reports, instructions, operators' requests and hooks."""
 
 from __future__ import annotations
 
-from typing import NamedTuple
-
-from ..cluster.membership import ALIVE, SUSPECTED
-from ..cluster.task_processes import Runs
-from . import local_drain as pl
-from .drain_schedule import DRAINING, EMPTY, STATES, WAITING, Order, Row, View, read_row, seen
-
-ROUND = 0.5  # of a lease between reports
-LASTS = 1.5  # leases that a word of the owner is good, from the report that it answers
-MOST_ROWS = 1024  # requests at once: one for each server there may be
-ROSTER = 3600.0  # s that a server which was heard of counts as one that should be there
-HOOK = "turn"
-DOING = {pl.DRAINS: DRAINING, pl.EMPTY: EMPTY, pl.AT_WORK: EMPTY}  # as the owner is told
-
-
-class Measured(NamedTuple):
-    """What a server tells of itself."""
+import math
+from collections.abc import Callable, Collection
+from typing import Any, ClassVar, NamedTuple
+
+from ..cluster.node import Fleet
+from .committed_records import CommittedRecords
+from .hooks import HookRunner
+from .leader import Log, MaintenanceLeader
+from .local_drain import STATE_TEXTS, LocalDrain, LocalDrainEffect, LocalDrainState
+from .messages import (
+    CANCEL_KIND,
+    PAUSE_KIND,
+    REPORT_KIND,
+    REQUEST_KIND,
+    RESPONSE_KIND,
+    Instruction,
+    Report,
+)
+from .options import MaintenanceOptions
+from .records import RecordState
+from .status import maintenance_status
+
+REPORT_INTERVAL_LEASES = 0.5
+"""Leases between two reports of a server, so that one may be lost within a lease."""
+RESPONSE_VALIDITY_LEASES = 1.5
+"""Leases within which a server may act on the leader's answer, counted from the report that it answers."""
+REQUEST_PATIENCE = 5.0
+"""Seconds that an operator's request may take to be committed: longer than an election."""
+REQUEST_RETRY_INTERVAL = 0.5
+"""Seconds after which an uncommitted request is sent to the leader again: a message may be lost."""
+REQUEST_POLL_INTERVAL = 0.05
+"""Seconds between looks for a committed request."""
+DRAIN_POLL_INTERVAL = 0.02
+"""Seconds between looks for the leader's instruction in a drained server."""
+
+REPORTED_STATES = {
+    LocalDrainState.DRAINING: RecordState.DRAINING,
+    LocalDrainState.DRAINED: RecordState.DRAINED,
+    LocalDrainState.IN_MAINTENANCE: RecordState.DRAINED,
+}
+"""States as the leader is told of them; in all others the server serves as far as the leader is concerned."""
+
+
+class ServerMeasurement(NamedTuple):
+    """What a server measures of itself for its report."""
 
     cores: float
-    busy: float
-    warm: float
-    strained: bool
-    answers: int
-
-
-class Turns:
-    def __init__(self, fleet, options, measure, drain, log):
-        """measure() -> Measured. drain(): the server goes out as by the platform's notice."""
-        self.fleet, self.options, self.measure, self.drain, self.log = fleet, options, measure, drain, log
-        self.lasts = LASTS * fleet.options.lease
-        self.place = pl.Place(fleet.clock(), self.lasts, options.patience)
-        self.order, self.reports = None, {}  # of the owner; name -> View
-        self.report_at = self.look_at = 0.0
-        self.read_from, self.read_rows = (), []
-        self.again = False  # once it has ended it is to be started anew, in place
-        self.hook_ended, self.returned_told = True, False
-        self.runs = Runs(fleet.scheduler, fleet.runs.environment, self.hook_over)
-        fleet.others.append(self)
-
-    def rows(self):
-        """As far as they are known here; read once for each state of the log."""
-        turns = self.fleet.facts()[1].turns
-        if turns is not self.read_from:
-            self.read_from, self.read_rows = turns, [read_row(row) for row in turns]
-        return self.read_rows
+    utilization: float  # share of the cores that is in use
+    warmup: float  # share of its full speed that the server has reached
+    overloaded: bool
+    answer_count: int  # requests that this incarnation has answered
+
+
+class MaintenanceCoordinator:
+    """A server's part in the cluster's maintenance.
+
+    The cluster's node calls `tick` and, for received messages, the handlers of `KINDS`. Their fields are as
+    the other server sent them: the annotations say what is expected, the conversions check it.
+    """
+
+    def __init__(
+        self,
+        node: Fleet,
+        options: MaintenanceOptions,
+        measure: Callable[[], ServerMeasurement],
+        start_drain: Callable[[], None],
+        log: Log,
+    ) -> None:
+        """Register with the cluster's node.
+
+        Args:
+            node: This server's cluster node.
+            options: The section [turns] of the operator's file.
+            measure: Returns what the server's report has to say.
+            start_drain: Starts a graceful shutdown, as the platform's termination signal does.
+            log: Takes the name of an event and its fields.
+        """
+        self.node = node
+        self.options = options
+        self.measure = measure
+        self.start_drain = start_drain
+        self.log = log
+        response_validity = RESPONSE_VALIDITY_LEASES * node.options.lease
+        self.local_drain = LocalDrain(node.clock(), response_validity, options.leader_patience)
+        self.records = CommittedRecords(node)
+        self.leader = MaintenanceLeader(node, self.records, response_validity, log)
+        self.hooks = HookRunner(node, log)
+        self.next_report_at = 0.0
+        self.restart_requested = False  # once the process has ended, it is to be started anew in place
+        self._return_acknowledged = False
+        node.others.append(self)
+
+    def apply_options(self, options: MaintenanceOptions) -> None:
+        """Take changed options; a leader starts its schedule anew with the new limits."""
+        self.options = options
+        self.leader.resign()
+
+    def close(self) -> None:
+        """End the hooks that still run."""
+        self.hooks.close()
 
     # ---- time
 
-    def tick(self, now, term):
-        if now >= self.report_at:
-            self.report_at = now + ROUND * self.fleet.options.lease
-            self.report(now)
-        effect = self.place.tick(now)
-        if effect is not None:
-            self.log("turn_alone", {"waited": self.options.patience})
+    def tick(self, now: float, term: int | None) -> None:
+        """Report, watch over the drain and, with a term of its own as leader, plan."""
+        if now >= self.next_report_at:
+            self.next_report_at = now + REPORT_INTERVAL_LEASES * self.node.options.lease
+            self._report(now)
+        if self.local_drain.tick(now) is not None:
+            self.log("drain_abandoned", {"waited_s": self.options.leader_patience})
         if term is None:
-            self.order = None
-            return
-        if self.order is None:
-            self.order = Order(self.options.limits(), self.fleet.options.lease, self.lasts, now)
-        if now >= self.look_at:
-            self.look_at = now + ROUND * self.fleet.options.lease / 2
-            self.look(now)
-
-    def report(self, now):
-        m = self.measure()
-        doing = DOING.get(self.place.state, WAITING)
-        fields = [
-            self.place.asked(now),
-            self.fleet.membership.me.life,
-            self.fleet.options.zone,
-            float(m.cores),
-            float(m.busy),
-            float(m.warm),
-            bool(m.strained),
-            int(m.answers),
-            doing,
-            self.place.fence,
-        ]
-        owner = self.fleet.owner_now()
-        if owner == self.fleet.name:
-            self.on_report(now, owner, *fields)
-        elif owner is not None:
-            self.fleet.send(owner, "turn-report", fields)
-
-    # ---- the owner
-
-    def views(self, now):
-        """All servers that should be there."""
-        fleet, out = self.fleet, {}
-        members = {fleet.name: fleet.membership.me, **fleet.membership.members}
-        self.reports = {name: view for name, view in self.reports.items() if now - view.heard < ROSTER}
-        for name in {*members, *self.reports, *(row.server for row in self.rows())}:
-            member = members.get(name)
-            zone, life, state = (member.zone, member.life, member.state) if member else ("-", 0, None)
-            alive = state in (ALIVE, SUSPECTED)
-            out[name] = seen(name, self.reports.get(name), zone, life, alive, state == SUSPECTED)
-        return out
-
-    def look(self, now):
-        owner = self.fleet.owner
-        if owner.commit < owner.last()[0]:
-            return  # one thing after another
-        rows, facts = self.rows(), owner.facts
-        for fact in self.order.look(now, rows, self.views(now), facts.held):
-            if not self.fleet.propose(fact):
-                return
-            self.tell(fact)
-
-    def tell(self, fact):
-        if fact[0] == "turned":
-            self.log("turn_over", {"server": fact[1]})
+            self.leader.resign()
         else:
-            row = read_row(fact[1])
-            if row.state != WAITING or not row.passed:
-                self.log(
-                    "turn",
-                    {"server": row.server, "state": STATES[row.state], "for": row.why, "late": row.late},
-                )
-
-    def on_report(self, now, sender, stamp, life, zone, cores, busy, warm, strained, answers, doing, fence):
-        if self.order is None:
-            return
-        self.reports[sender] = view = View(
-            sender,
-            str(zone),
-            int(life),
-            True,
-            False,
-            max(0.0, float(cores)),
-            min(1.0, max(0.0, float(busy))),
-            min(1.0, max(0.0, float(warm))),
-            strained is True,
-            int(answers),
-            int(doing),
-            int(fence),
-            now,
+            self.leader.tick(now, self.options)
+
+    def _report(self, now: float) -> None:
+        measurement = self.measure()
+        reported_state = REPORTED_STATES.get(self.local_drain.state, RecordState.WAITING)
+        report = Report(
+            self.local_drain.record_report(now),
+            self.node.membership.me.life,
+            self.node.options.zone,
+            float(measurement.cores),
+            float(measurement.utilization),
+            float(measurement.warmup),
+            bool(measurement.overloaded),
+            int(measurement.answer_count),
+            int(reported_state),
+            self.local_drain.fencing_token,
         )
-        row = next((row for row in self.rows() if row.server == sender), None)
-        verb, number = self.order.word(now, row, view)
-        if self.fleet.leads(self.fleet.clock()):
-            if sender == self.fleet.name:
-                self.on_word(now, sender, stamp, verb, number)
-            else:
-                self.fleet.send(sender, "turn-word", [stamp, verb, number])
-
-    # ---- the server
-
-    def on_word(self, now, sender, stamp, verb, fence):
-        self.place.heard(now)
-        if verb == "returned":
-            if not self.returned_told and self.options.returned is not None:
-                self.hook(self.options.returned, int(fence))
-            self.returned_told = True
+        leader = self.node.owner_now()
+        if leader == self.node.name:
+            self.on_report(now, leader, *report)
+        elif leader is not None:
+            self.node.send(leader, REPORT_KIND, list(report))
+
+    # ---- messages
+
+    def on_report(self, now: float, sender: str, *fields: object) -> None:
+        """Take a server's report and answer it, while this server leads.
+
+        Raises:
+            TypeError: The message has the wrong number of fields, or one has the wrong type.
+            ValueError: A field can't be converted.
+        """
+        report = Report(*fields)  # type: ignore[arg-type]  # the leader converts them
+        response = self.leader.receive_report(now, sender, report)
+        if response is None:
             return
-        effect = self.place.told(now, float(stamp), verb, int(fence))
-        if effect == "drain":
-            self.log("turn_out", {"fence": int(fence)})
-            self.drain()
-
-    def hook(self, command, fence):
-        self.hook_ended = False
-        why = self.runs.start(HOOK, command, fence, 1.0)
-        if why is not None:
-            self.hook_over(HOOK, {"code": None, "why": why, "tail": ""})
-        now = self.fleet.seams.to_boot(self.fleet.clock())
-        self.runs.lease(lambda name: fence, now + self.options.work)
-
-    def hook_over(self, name, outcome):
-        self.hook_ended = True
-        self.log("turn_hook", outcome)
-
-    def noticed(self):
-        """The platform's notice goes first, whatever the turn."""
-        self.place.notice(self.fleet.clock())
-
-    def drained(self):
-        """In the drain's own task, once all is answered: waits for the owner's word, has the work done."""
-        place, clock, sleep = self.place, self.fleet.clock, self.fleet.scheduler.sleep
-        if place.state != pl.DRAINS:
+        instruction = response.instruction.value
+        if sender == self.node.name:
+            self.on_response(now, sender, report.sent_at, instruction, response.fencing_token)
+        else:
+            self.node.send(sender, RESPONSE_KIND, [report.sent_at, instruction, response.fencing_token])
+
+    def on_response(
+        self, now: float, sender: str, report_time: float, instruction: str, fencing_token: int
+    ) -> None:
+        """Take the leader's answer to a report and carry out its instruction.
+
+        Raises:
+            TypeError: A field has the wrong type.
+            ValueError: A field can't be converted.
+        """
+        self.local_drain.record_leader_contact(now)
+        if instruction == Instruction.ACKNOWLEDGE_RETURN:
+            if not self._return_acknowledged and self.options.return_hook is not None:
+                self.hooks.start(self.options.return_hook, int(fencing_token), self.options.work_duration)
+            self._return_acknowledged = True
             return
-        place.drained(clock())
-        self.report_at = 0.0  # at once
-        while place.state == pl.EMPTY:
-            sleep(0.02)
-        if place.state == pl.AT_WORK and self.options.empty is not None:
-            self.hook(self.options.empty, place.fence)
-            while not self.hook_ended and place.state == pl.AT_WORK:
-                sleep(0.02)
-        self.again = place.state == pl.GOES_BACK
-        self.log("turn_ends", {"state": pl.STATES[place.state]})
-
-    # ---- what is asked
-
-    def ask(self, servers, why, urgent, work):
-        """At any server. None once it stands in the log, or why not: waits for that in its caller's own
-        task."""
-        return self.until(
-            [list(servers), why, bool(urgent), float(work)],
-            "turn-ask",
-            lambda rows: set(servers) <= {row.server for row in rows},
+        effect = self.local_drain.receive_instruction(
+            now, float(report_time), instruction, int(fencing_token)
         )
+        if effect is LocalDrainEffect.START_DRAIN:
+            self.log("drain_started", {"fencing_token": int(fencing_token)})
+            self.start_drain()
+
+    def on_request(
+        self, now: float, sender: str, servers: list[str], reason: str, urgent: bool, work_duration: float
+    ) -> None:
+        """Take a request for maintenance, while this server leads."""
+        self.leader.enqueue(servers, reason, urgent, work_duration)
+
+    def on_cancel(self, now: float, sender: str, servers: list[str]) -> None:
+        """Take the cancellation of requests, while this server leads."""
+        self.leader.cancel(servers)
+
+    def on_pause(self, now: float, sender: str, paused: bool) -> None:
+        """Take an operator's pause of grants, or its end, while this server leads."""
+        self.leader.set_paused(paused)
+
+    KINDS: ClassVar[dict[str, Callable[..., None]]] = {  # the node reads it by this name
+        REPORT_KIND: on_report,
+        RESPONSE_KIND: on_response,
+        REQUEST_KIND: on_request,
+        CANCEL_KIND: on_cancel,
+        PAUSE_KIND: on_pause,
+    }
 
-    def take_back(self, servers):
-        return self.until(
-            [list(servers)],
-            "turn-back",
-            lambda rows: all(row.unwanted or row.state > EMPTY for row in rows if row.server in servers),
-        )
+    # ---- drain of this server
+
+    def receive_termination_signal(self) -> None:
+        """Take the platform's termination signal, which goes before any maintenance."""
+        self.local_drain.receive_termination_signal(self.node.clock())
 
-    def hold(self, held):
-        return self.until([bool(held)], "turn-hold", lambda rows: self.fleet.facts()[1].held == held)
+    def wait_for_maintenance(self) -> None:
+        """Wait for the leader's permission after the drain, and run the operator's hook.
 
-    def until(self, fields, kind, done, patience=5.0):
-        clock = self.fleet.clock
-        end, asked = clock() + patience, -1e9
-        while clock() < end:
-            now, owner = clock(), self.fleet.owner_now()
-            if done(self.rows()):
+        To be called in the drain's own task once all requests are answered; returns when the process may end.
+        """
+        if self.local_drain.state is not LocalDrainState.DRAINING:
+            return
+        sleep = self.node.scheduler.sleep
+        self.local_drain.complete_drain(self.node.clock())
+        self.next_report_at = 0.0  # the leader is told at once
+        while self._is_in(LocalDrainState.DRAINED):
+            sleep(DRAIN_POLL_INTERVAL)
+        if self._is_in(LocalDrainState.IN_MAINTENANCE) and self.options.drained_hook is not None:
+            self.hooks.start(
+                self.options.drained_hook, self.local_drain.fencing_token, self.options.work_duration
+            )
+            while not self.hooks.ended and self._is_in(LocalDrainState.IN_MAINTENANCE):
+                sleep(DRAIN_POLL_INTERVAL)
+        self.restart_requested = self._is_in(LocalDrainState.RESTARTING)
+        self.log("drain_ended", {"state": STATE_TEXTS[self.local_drain.state]})
+
+    def _is_in(self, state: LocalDrainState) -> bool:
+        """Return whether the drain is in a state at present; other tasks change it during a sleep."""
+        return self.local_drain.state is state
+
+    # ---- operators' requests
+
+    def request_maintenance(
+        self, servers: Collection[str], reason: str, urgent: bool, work_duration: float
+    ) -> str | None:
+        """Request maintenance of some servers, at whichever server the operator asks.
+
+        Waits in the caller's task until the request is committed. Returns None then, else why it is not.
+        """
+
+        def is_committed() -> bool:
+            return set(servers) <= {record.server for record in self.records.read()}
+
+        fields = [list(servers), reason, bool(urgent), float(work_duration)]
+        return self._send_until(REQUEST_KIND, fields, is_committed)
+
+    def cancel_maintenance(self, servers: Collection[str]) -> str | None:
+        """Cancel the requests of some servers; waits and returns as `request_maintenance` does."""
+
+        def is_committed() -> bool:
+            return all(
+                record.cancelled or record.state > RecordState.DRAINED
+                for record in self.records.read()
+                if record.server in servers
+            )
+
+        return self._send_until(CANCEL_KIND, [list(servers)], is_committed)
+
+    def pause_grants(self, paused: bool) -> str | None:
+        """Pause or resume the granting of maintenance; waits and returns as `request_maintenance` does."""
+
+        def is_committed() -> bool:
+            return self.records.paused() == paused
+
+        return self._send_until(PAUSE_KIND, [bool(paused)], is_committed)
+
+    def _send_until(self, kind: str, fields: list[Any], is_committed: Callable[[], bool]) -> str | None:
+        """Send a message to the leader, again and again, until its effect is committed."""
+        clock = self.node.clock
+        deadline = clock() + REQUEST_PATIENCE
+        last_attempt_at = -math.inf
+        while clock() < deadline:
+            now = clock()
+            leader = self.node.owner_now()
+            if is_committed():
                 return None
-            if owner is not None and now - asked > 0.5:
-                asked = now
-                if owner == self.fleet.name:
-                    self.KINDS[kind](self, now, owner, *fields)
+            if leader is not None and now - last_attempt_at > REQUEST_RETRY_INTERVAL:
+                last_attempt_at = now
+                if leader == self.node.name:
+                    self.KINDS[kind](self, now, leader, *fields)
                 else:
-                    self.fleet.send(owner, kind, fields)
-            self.fleet.scheduler.sleep(0.05)
+                    self.node.send(leader, kind, fields)
+            self.node.scheduler.sleep(REQUEST_POLL_INTERVAL)
         return "no owner has taken it down; ask again"
 
-    def on_ask(self, now, sender, servers, why, urgent, work):
-        if self.order is None:
-            return
-        rows = {row.server: row for row in self.rows()}
-        number = max([row.number for row in rows.values()], default=0)
-        for server in servers:
-            if isinstance(server, str) and server not in rows and len(rows) < MOST_ROWS:
-                number += 1
-                rows[server] = row = Row(
-                    server, number, str(why)[:64], urgent is True, min(86400.0, max(1.0, float(work)))
-                )
-                self.fleet.propose(("turn", row.packed()))
-
-    def on_back(self, now, sender, servers):
-        for row in self.rows():
-            if self.order is not None and row.server in servers and not row.unwanted:
-                self.fleet.propose(("turn", row._replace(unwanted=True).packed()))
-
-    def on_hold(self, now, sender, held):
-        if self.order is not None:
-            self.fleet.propose(("hold", held is True))
-
-    KINDS = {
-        "turn-report": on_report,
-        "turn-word": on_word,
-        "turn-ask": on_ask,
-        "turn-back": on_back,
-        "turn-hold": on_hold,
-    }
-
-    # ---- to be seen
-
-    def status(self):
-        now = self.fleet.clock()
-        reasons = self.order.reasons if self.order is not None else {}
-        _, facts, owner = self.fleet.facts()
-        return {
-            "held": facts.held,
-            "owner": owner,
-            "here": pl.STATES[self.place.state],
-            "refused": self.place.refused,
-            "rows": [
-                {
-                    "server": row.server,
-                    "state": STATES[row.state],
-                    "for": row.why,
-                    "urgent": row.urgent,
-                    "late": row.late,
-                    "unwanted": row.unwanted,
-                    "fence": row.fence,
-                    "work_s": row.work,
-                    "why": reasons.get(row.server, ""),
-                    "for_s": round(now - self.order.since[row.server][1], 1)
-                    if self.order is not None and row.server in self.order.since
-                    else None,
-                }
-                for row in sorted(self.rows(), key=lambda row: row.number)
-            ],
-        }
+    # ---- status
+
+    def status(self) -> dict[str, Any]:
+        """Return what `valeturn status` shows of maintenance."""
+        _, facts, leader = self.node.facts()
+        return maintenance_status(
+            self.node.clock(),
+            self.records.read(),
+            self.leader.schedule,
+            self.local_drain,
+            leader,
+            facts.held,
+        )
--- a/valeturn/maintenance/drain_schedule.py
+++ b/valeturn/maintenance/drain_schedule.py
@@ -1,343 +1,343 @@
-"""Who goes out next, at the owner of the fleet: a table of state, input, next state, effect. No I/O.
+"""Decide at the cluster's leader which server goes into maintenance next; no I/O.
 
-The rows stand in the fleet's log, so that they survive any owner; what the servers report does not: a new
-owner decides nothing before it has heard of enough of them. A row moves by one committed fact at a time.
+The records stand in the replicated log, so that they survive a change of the leader. What servers report
+does not: a new leader decides nothing before enough of them have reported. A record moves by one committed
+entry at a time, along the table of `record_transitions`.
 """
 
 from __future__ import annotations
 
 import math
+from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-# States of a request. All but WAITING count as out.
-WAITING, GRANTED, DRAINING, EMPTY, WORKING, RETURNING, WARMING = range(7)
-STATES = ("waits", "granted", "draining", "empty", "in work", "coming back", "warming")
-# CHOSEN: its turn has come. BEGAN: the server drains under this grant. UNTAKEN: it serves on, and the grant
-# can't be taken any more. EMPTIED: nothing is read, held, running, owed or in doubt there. GO: its work may
-# begin. NEEDED: its work has not begun, and the others can't do without it. GONE: its life is over. BACK: a
-# later life of it reports. WARM: that one has warmed up, and answers. LATE: it has not come back in its time.
-# TAKEN_BACK: an operator wants it no more.
-CHOSEN, BEGAN, UNTAKEN, EMPTIED, GO, NEEDED, GONE, BACK, WARM, LATE, TAKEN_BACK = range(11)
-
-# (state, input) -> (next state, effect). A state of None ends the row. A missing pair changes nothing.
-TABLE = {
-    (WAITING, CHOSEN): (GRANTED, "grant"),
-    (WAITING, TAKEN_BACK): (None, "end"),
-    (GRANTED, BEGAN): (DRAINING, "move"),
-    (GRANTED, UNTAKEN): (WAITING, "line_up"),
-    (GRANTED, EMPTIED): (EMPTY, "move"),
-    (GRANTED, GONE): (WORKING, "move"),
-    (DRAINING, EMPTIED): (EMPTY, "move"),
-    (DRAINING, GONE): (WORKING, "move"),
-    (EMPTY, GO): (WORKING, "move"),
-    (EMPTY, NEEDED): (RETURNING, "move"),
-    (EMPTY, GONE): (WORKING, "move"),
-    (EMPTY, TAKEN_BACK): (RETURNING, "move"),
-    (WORKING, BACK): (WARMING, "return_"),
-    (WORKING, UNTAKEN): (WAITING, "line_up"),  # it was only cut off
-    (WORKING, LATE): (WORKING, "tell_late"),
-    (RETURNING, BACK): (WARMING, "return_"),
-    (RETURNING, LATE): (RETURNING, "tell_late"),
-    (WARMING, WARM): (None, "end"),
-    (WARMING, GONE): (WORKING, "move"),
-}
+from .messages import Instruction, Response
+from .record_transitions import ScheduleInput, step
+from .records import STATE_TEXTS, MaintenanceRecord, RecordState, RecordUpdated, ScheduleEntry
+from .server_view import ServerView, capacity_without, majority_reports, overloaded_servers, total_load
 
-PASSED = 8  # times that another may go before one that waits: then it goes before all, urgent or not
-FRESH = 4.0  # leases after which a report says nothing any more: two may be lost
-DOUBTED = 0.5  # of its capacity that a suspected server counts for
-RESERVE = 0.5  # of `spare` that must still be there while one that is empty does its work: else it is needed
-
-
-class Row(NamedTuple):
-    """One request, as the log has it."""
-
-    server: str
-    number: int  # in the order in which they were asked
-    why: str
-    urgent: bool
-    work: float  # s that its work may take, from when it was empty
-    state: int = WAITING
-    fence: int = 0  # of its grant
-    life: int = 0  # of the server, when it was granted; of the one that came back, while that warms up
-    passed: int = 0  # others that went before it
-    late: bool = False
-    unwanted: bool = False  # taken back after it was granted: it comes back without its work
-
-    def packed(self):
-        return list(self)
-
-
-def read_row(said):
-    """A Row from what `packed` gave. Raises TypeError or ValueError."""
-    server, number, why, urgent, work, state, fence, life, passed, late, unwanted = said
-    if not 0 <= int(state) < len(STATES):
-        raise ValueError(state)
-    return Row(
-        str(server),
-        int(number),
-        str(why),
-        bool(urgent),
-        float(work),
-        int(state),
-        int(fence),
-        int(life),
-        int(passed),
-        bool(late),
-        bool(unwanted),
-    )
-
-
-class View(NamedTuple):
-    """A server as its reports and the membership have it."""
-
-    name: str
-    zone: str
-    life: int
-    there: bool  # alive, as far as is known
-    doubted: bool = False
-    cores: float = 1.0
-    busy: float = 0.0  # share of them, as a mean of seconds
-    warm: float = 1.0  # share of its speed that it has by now
-    strained: bool = False  # at a level of reduced service, or turning many back
-    answers: int = 0  # delivered by this life
-    doing: int = WAITING  # DRAINING or EMPTY, under `fence`; else it serves
-    fence: int = 0
-    heard: float = 0.0  # s, of the owner's clock
-
-
-def seen(name, report, zone, life, alive, doubted):
-    """A View of one server from its last report, or None, and what the membership has: zone, life (0 where it
-    is not known), whether it is alive and doubted. A report of an earlier life tells nothing of the one that
-    is there: a turn granted by it would be one of a life that is over, and count as done."""
-    if report is None or life > report.life:
-        return View(name, zone, life, alive, doubted, heard=-math.inf)
-    return report._replace(there=alive and life == report.life, doubted=doubted)
-
-
-class Limits(NamedTuple):
-    """[turns] of the operator's file."""
-
-    most: int
-    share: float
-    one_zone: bool
-    spare: float
-    answers: int  # that one which returned has to have given, unless nobody asks it
-    idle: float  # s after which one that nobody asks counts as proved
-    keep: bool  # one that does not return keeps its place
-
-
-class Order:
-    """The owner's look at all of it; `lasts` is how long a server may take up a grant, s."""
-
-    def __init__(self, limits, lease, lasts, now):
-        self.limits, self.lease, self.lasts, self.since_owner = limits, lease, lasts, now
-        self.since = {}  # server -> (state, s since when this owner knows it to be so)
-        self.reasons = {}  # server -> why it waits, in words
-        self.granted_at = {}  # server -> when this owner told it last that it may go, at the latest
-
-    # ---- what is known
-
-    def known(self, now, views):
-        return {
-            name: view
-            for name, view in views.items()
-            if view.there and now - view.heard <= FRESH * self.lease
-        }
+Views = Mapping[str, ServerView]
 
-    @staticmethod
-    def capacity(known, out):
-        """Cores' worth that is in service: cold and doubted ones count for what they can carry, those that
-        are out or were not heard for nothing."""
-        return sum(
-            view.cores * view.warm * (DOUBTED if view.doubted else 1.0)
-            for name, view in known.items()
-            if name not in out
-        )
+BYPASS_LIMIT = 8
+"""Grants to others before a waiting request; then it goes before all others, urgent or not."""
+REPORT_LIFETIME_LEASES = 4.0
+"""Leases after which a report is stale. Reports come twice a lease, so several may be lost."""
+SPARE_SHARE_TO_KEEP = 0.5
+"""Share of the spare capacity that has to be free still when a drained server's maintenance may begin."""
+NAMES_IN_REASON = 3
+"""Servers that a reason for waiting names; the rest would only fill the operator's screen."""
 
-    @staticmethod
-    def load(known):
-        return sum(view.cores * view.warm * view.busy for view in known.values())
-
-    def out(self, rows, views):
-        """Names that are out: by a request, or lost without one."""
-        asked = {row.server for row in rows if row.state != WAITING}
-        return asked | {name for name, view in views.items() if not view.there}
-
-    def allowed(self, views):
-        """Servers that may be out at once."""
-        return max(1, min(self.limits.most, math.floor(self.limits.share * len(views))))
-
-    # ---- the look
-
-    def look(self, now, rows, views, held):
-        """Facts to propose: ("turn", packed row) or ("turned", server). rows: as committed. held: nobody else
-        goes out."""
-        facts, seen, known = [], {row.server for row in rows}, self.known(now, views)
-        self.since = {name: at for name, at in self.since.items() if name in seen}
-        for row in rows:
-            if self.since.get(row.server, (None,))[0] != row.state:
-                self.since[row.server] = row.state, now
-            given = self.given(now, row, views.get(row.server), rows, views, known)
-            if given is not None:
-                facts += self.step(row, given, views[row.server].life if row.server in views else None)
-        if not facts:  # one thing after another: what is out counts once it is committed
-            facts += self.choose(now, rows, views, known, held)
-        return facts
-
-    def given(self, now, row, view, rows, views, known):
-        """The input that holds for a row, or None."""
-        if row.state == WAITING:
-            return TAKEN_BACK if row.unwanted else None
-        since = now - self.since[row.server][1]
-        there = view is not None and view.there
-        later = view is not None and view.life > row.life
-        fresh = there and now - view.heard <= FRESH * self.lease
-        if row.state in (WORKING, RETURNING):
-            if later and fresh:
-                return BACK
-            if fresh and view.doing == WAITING and self.can_t_take_up(row, view):
-                return UNTAKEN
-            return LATE if not row.late and since > row.work else None
-        if row.state == WARMING:
-            if not there or view.life > row.life:
-                return GONE
-            proved = view.answers >= self.limits.answers or since >= self.limits.idle
-            return WARM if fresh and view.warm >= 1.0 and proved and not view.strained else None
-        if not there or later:
-            return GONE
-        if view.doing == EMPTY and view.fence == row.fence:
-            if row.state != EMPTY:
-                return EMPTIED
-            return self.after_empty(row, rows, views, known)
-        if view.doing == DRAINING and view.fence == row.fence:
-            return BEGAN if row.state == GRANTED else None
-        return UNTAKEN if row.state == GRANTED and fresh and self.can_t_take_up(row, view) else None
-
-    def can_t_take_up(self, row, view):
-        """It was heard to serve after no word of any owner could be good any more."""
-        granted = self.granted_at.get(row.server, -math.inf)
-        told = max(granted, self.since_owner, self.since[row.server][1])
-        return view.heard > told + self.lasts
-
-    def after_empty(self, row, rows, views, known):
-        if row.unwanted:
-            return TAKEN_BACK
-        out = self.out(rows, views)
-        room = self.capacity(known, out) * (1 - RESERVE * self.limits.spare)
-        if self.under_strain(known) or self.load(known) > room or not self.enough(known, views):
-            return NEEDED
-        return GO
 
-    @staticmethod
-    def under_strain(known):
-        """Names of those that serve and can hardly: one that drains says so of itself, which is no strain."""
-        return sorted(name for name, view in known.items() if view.strained and view.doing == WAITING)
+INSTRUCTIONS_WHEN_DRAINED = {
+    RecordState.IN_MAINTENANCE: Instruction.START_MAINTENANCE,
+    RecordState.RETURNING: Instruction.RESTART,
+}
+"""What a server is instructed to do that reports itself drained, by the state of its record."""
+
+
+class MaintenanceLimits(NamedTuple):
+    """What the operator allows, as the section [turns] of the operator's file says."""
+
+    max_unavailable: int  # servers that may be unavailable at once
+    max_unavailable_share: float  # of all known servers, likewise; one server always may
+    single_zone: bool  # only servers of one zone at a time
+    spare_capacity_share: float  # of the cores in service that has to stay free
+    min_answer_count: int  # that a returned server has to have given, unless no request reaches it
+    idle_proof_time: float  # s after which a returned server counts as proved without any request
+    keep_missing: bool  # a server that does not return stays unavailable, and no other goes in its place
+
+
+class ObservedState(NamedTuple):
+    """A record's state, and since when the leader knows it."""
+
+    state: RecordState
+    since: float  # s
+
+
+class DrainSchedule:
+    """The leader's schedule of all maintenance requests.
+
+    A leader makes a new one when it is elected. Times are seconds of the leader's monotonic clock.
+    """
+
+    def __init__(self, limits: MaintenanceLimits, lease: float, response_validity: float, now: float) -> None:
+        """Start without any knowledge of earlier reports.
+
+        Args:
+            limits: What the operator allows.
+            lease: The leader's lease, in seconds.
+            response_validity: Seconds within which a server may act on an answer to its report.
+            now: The present time, from which this leader leads.
+        """
+        self.limits = limits
+        self.lease = lease
+        self.response_validity = response_validity
+        self.leader_since = now
+        self.observed_states: dict[str, ObservedState] = {}  # by server
+        self.wait_reasons: dict[str, str] = {}  # by server, in words for the operator
+        self.grant_sent_at: dict[str, float] = {}  # by server: when the grant was sent to it last
+
+    # ---- availability
+
+    def reporting_servers(self, now: float, views: Views) -> dict[str, ServerView]:
+        """Return the servers that are alive and whose last report is not stale."""
+        return {name: view for name, view in views.items() if view.alive and self._is_fresh(now, view)}
+
+    def _is_fresh(self, now: float, view: ServerView) -> bool:
+        return now - view.reported_at <= REPORT_LIFETIME_LEASES * self.lease
+
+    def unavailable_servers(self, records: Sequence[MaintenanceRecord], views: Views) -> set[str]:
+        """Return the names of servers that are unavailable by a request, or dead without one."""
+        by_request = {record.server for record in records if record.state != RecordState.WAITING}
+        return by_request | {name for name, view in views.items() if not view.alive}
+
+    def unavailable_limit(self, views: Views) -> int:
+        """Return how many servers may be unavailable at once; at least one."""
+        by_share = math.floor(self.limits.max_unavailable_share * len(views))
+        return max(1, min(self.limits.max_unavailable, by_share))
+
+    # ---- planning
+
+    def plan(
+        self, now: float, records: Sequence[MaintenanceRecord], views: Views, paused: bool
+    ) -> list[ScheduleEntry]:
+        """Return the log entries to propose.
+
+        Args:
+            now: The present time.
+            records: All records, as committed.
+            views: All servers that should be there.
+            paused: Whether an operator has paused grants.
+        """
+        entries: list[ScheduleEntry] = []
+        reporting = self.reporting_servers(now, views)
+        requested = {record.server for record in records}
+        self.observed_states = {
+            name: observed for name, observed in self.observed_states.items() if name in requested
+        }
+        for record in records:
+            self._observe(now, record)
+            view = views.get(record.server)
+            received = self._input_for(now, record, view, records, views)
+            if received is not None:
+                entries += self.step(record, received, None if view is None else view.incarnation)
+        if not entries:  # a server counts as unavailable only once that is committed: no grant before
+            entries += self._grant_next(now, records, views, reporting, paused)
+        return entries
+
+    def _observe(self, now: float, record: MaintenanceRecord) -> None:
+        observed = self.observed_states.get(record.server)
+        if observed is None or observed.state != record.state:
+            self.observed_states[record.server] = ObservedState(record.state, now)
+
+    def _input_for(
+        self,
+        now: float,
+        record: MaintenanceRecord,
+        view: ServerView | None,
+        records: Sequence[MaintenanceRecord],
+        views: Views,
+    ) -> ScheduleInput | None:
+        """Return the input that holds for a record at present, or None."""
+        if record.state == RecordState.WAITING:
+            return ScheduleInput.CANCELLED if record.cancelled else None
+        if record.state in (RecordState.IN_MAINTENANCE, RecordState.RETURNING):
+            return self._input_while_away(now, record, view)
+        if view is None or not view.alive or view.incarnation > record.incarnation:
+            return ScheduleInput.INCARNATION_ENDED
+        if record.state == RecordState.WARMING_UP:
+            return self._input_while_warming_up(now, record, view)
+        return self._input_before_maintenance(now, record, view, records, views)
+
+    def _input_before_maintenance(
+        self,
+        now: float,
+        record: MaintenanceRecord,
+        view: ServerView,
+        records: Sequence[MaintenanceRecord],
+        views: Views,
+    ) -> ScheduleInput | None:
+        if view.reported_state == RecordState.DRAINED and view.fencing_token == record.fencing_token:
+            if record.state == RecordState.DRAINED:
+                return self._input_when_drained(now, record, records, views)
+            return ScheduleInput.DRAIN_COMPLETED
+        if record.state == RecordState.GRANTED:
+            return self._input_when_granted(now, record, view)
+        return None
 
-    @staticmethod
-    def enough(known, views):
-        """Whether more than half of all that are known of report: a new owner waits, a minority decides
-        nothing."""
-        return 2 * len(known) > len(views)
-
-    def choose(self, now, rows, views, known, held):
-        """At most one grant, and who is passed by it."""
-        out = self.out(rows, views)
-        waiting = [row for row in rows if row.state == WAITING and not row.unwanted]
-        waiting.sort(key=lambda row: (row.passed < PASSED, not row.urgent, row.number))
-        self.reasons, passed = {}, []
-        for row in waiting:
-            why = self.why_not(now, row, rows, views, known, out, held)
-            if why is None and passed and passed[0].passed >= PASSED:
-                why = f"waits for {passed[0].server}, which was passed {PASSED} times"
-            if why is not None:
-                self.reasons[row.server] = why
-                passed.append(row)
+    def _input_while_away(
+        self, now: float, record: MaintenanceRecord, view: ServerView | None
+    ) -> ScheduleInput | None:
+        if view is not None and view.alive and self._is_fresh(now, view):
+            if view.incarnation > record.incarnation:
+                return ScheduleInput.RESTARTED
+            if view.reported_state == RecordState.WAITING and self._grant_is_expired(record, view):
+                return ScheduleInput.GRANT_EXPIRED
+        overdue = now - self.observed_states[record.server].since > record.work_duration
+        return ScheduleInput.RETURN_OVERDUE if overdue and not record.overdue else None
+
+    def _input_while_warming_up(
+        self, now: float, record: MaintenanceRecord, view: ServerView
+    ) -> ScheduleInput | None:
+        idle_time = now - self.observed_states[record.server].since
+        proved = view.answer_count >= self.limits.min_answer_count or idle_time >= self.limits.idle_proof_time
+        if self._is_fresh(now, view) and view.warmup >= 1.0 and proved and not view.overloaded:
+            return ScheduleInput.WARMUP_COMPLETED
+        return None
+
+    def _input_when_granted(
+        self, now: float, record: MaintenanceRecord, view: ServerView
+    ) -> ScheduleInput | None:
+        if view.reported_state == RecordState.DRAINING and view.fencing_token == record.fencing_token:
+            return ScheduleInput.DRAIN_STARTED
+        if self._is_fresh(now, view) and self._grant_is_expired(record, view):
+            return ScheduleInput.GRANT_EXPIRED
+        return None
+
+    def _input_when_drained(
+        self, now: float, record: MaintenanceRecord, records: Sequence[MaintenanceRecord], views: Views
+    ) -> ScheduleInput:
+        if record.cancelled:
+            return ScheduleInput.CANCELLED
+        reporting = self.reporting_servers(now, views)
+        if overloaded_servers(reporting) or not majority_reports(reporting, views):
+            return ScheduleInput.CAPACITY_NEEDED
+        capacity = capacity_without(reporting, self.unavailable_servers(records, views))
+        usable = capacity * (1 - SPARE_SHARE_TO_KEEP * self.limits.spare_capacity_share)
+        if total_load(reporting) > usable:
+            return ScheduleInput.CAPACITY_NEEDED
+        return ScheduleInput.MAINTENANCE_ALLOWED
+
+    def _grant_is_expired(self, record: MaintenanceRecord, view: ServerView) -> bool:
+        """Return whether the server reported after no leader's answer could be valid any more."""
+        granted_at = self.grant_sent_at.get(record.server, -math.inf)
+        last_sent_at = max(granted_at, self.leader_since, self.observed_states[record.server].since)
+        return view.reported_at > last_sent_at + self.response_validity
+
+    # ---- grants
+
+    def _grant_next(
+        self,
+        now: float,
+        records: Sequence[MaintenanceRecord],
+        views: Views,
+        reporting: Views,
+        paused: bool,
+    ) -> list[ScheduleEntry]:
+        """Return the entries of at most one grant, with the counts of those that it bypasses."""
+        waiting = [
+            record for record in records if record.state == RecordState.WAITING and not record.cancelled
+        ]
+        waiting.sort(
+            key=lambda record: (
+                record.bypass_count < BYPASS_LIMIT,
+                not record.urgent,
+                record.sequence_number,
+            )
+        )
+        self.wait_reasons = {}
+        bypassed: list[MaintenanceRecord] = []
+        for position, record in enumerate(waiting):
+            reason = self._wait_reason(now, record, records, views, reporting, paused)
+            if reason is None and bypassed and bypassed[0].bypass_count >= BYPASS_LIMIT:
+                reason = f"waits for {bypassed[0].server}, which was passed {BYPASS_LIMIT} times"
+            if reason is not None:
+                self.wait_reasons[record.server] = reason
+                bypassed.append(record)
                 continue
-            for other in waiting[waiting.index(row) + 1 :]:
-                self.reasons[other.server] = f"waits for {row.server}, which goes first"
-            return [
-                *self.step(row, CHOSEN, views[row.server].life),
-                *(("turn", other._replace(passed=other.passed + 1).packed()) for other in passed),
-            ]
+            for later in waiting[position + 1 :]:
+                self.wait_reasons[later.server] = f"waits for {record.server}, which goes first"
+            entries = self.step(record, ScheduleInput.SELECTED, views[record.server].incarnation)
+            for other in bypassed:
+                entries.append(RecordUpdated(other._replace(bypass_count=other.bypass_count + 1)))
+            return entries
         return []
 
-    def why_not(self, now, row, rows, views, known, out, held):
-        """In words, or None where it may go."""
-        view = views.get(row.server)
-        if held:
+    def _wait_reason(
+        self,
+        now: float,
+        record: MaintenanceRecord,
+        records: Sequence[MaintenanceRecord],
+        views: Views,
+        reporting: Views,
+        paused: bool,
+    ) -> str | None:
+        """Return why a request has to wait, for the operator; None where it may be granted."""
+        if paused:
             return "turns are held by an operator"
-        if view is None or not view.there:
+        view = views.get(record.server)
+        if view is None or not view.alive:
             return "it is not there"
-        if row.server not in known:
+        if record.server not in reporting:
             return "it has not reported"
-        if not self.enough(known, views):
+        unavailable = self.unavailable_servers(records, views)
+        others = sorted(unavailable - {record.server})
+        return (
+            self._health_reason(reporting, views)
+            or self._count_reason(now, others, records, views)
+            or self._zone_reason(view, others, views)
+            or self._capacity_reason(reporting, unavailable | {record.server})
+        )
+
+    @staticmethod
+    def _health_reason(reporting: Views, views: Views) -> str | None:
+        if not majority_reports(reporting, views):
             return "too few servers report"
-        strained = self.under_strain(known)
-        if strained:
-            return "the fleet is under strain: " + ", ".join(strained[:3])
-        others = sorted(out - {row.server})
-        if len(others) >= self.allowed(views):
-            return "waits for " + ", ".join(self.in_words(now, name, rows) for name in others[:3])
-        zones = {views[name].zone for name in others if name in views}
-        if self.limits.one_zone and view.zone != "-" and zones - {view.zone}:
-            return f"waits for zone {', '.join(sorted(zones - {view.zone}))}"
-        load, after = self.load(known), self.capacity(known, out | {row.server})
-        if load > (1 - self.limits.spare) * after:
-            return f"its cores are needed: {load:.1f} in use, {after:.1f} left without it"
+        overloaded = overloaded_servers(reporting)
+        if overloaded:
+            return "the fleet is under strain: " + ", ".join(overloaded[:NAMES_IN_REASON])
+        return None
+
+    def _count_reason(
+        self, now: float, others: Sequence[str], records: Sequence[MaintenanceRecord], views: Views
+    ) -> str | None:
+        if len(others) < self.unavailable_limit(views):
+            return None
+        described = [self._describe_unavailable(now, name, records) for name in others[:NAMES_IN_REASON]]
+        return "waits for " + ", ".join(described)
+
+    def _zone_reason(self, view: ServerView, others: Sequence[str], views: Views) -> str | None:
+        if not self.limits.single_zone or view.zone == "-":
+            return None
+        other_zones = {views[name].zone for name in others if name in views} - {view.zone}
+        return f"waits for zone {', '.join(sorted(other_zones))}" if other_zones else None
+
+    def _capacity_reason(self, reporting: Views, unavailable: set[str]) -> str | None:
+        load = total_load(reporting)
+        capacity = capacity_without(reporting, unavailable)
+        if load > (1 - self.limits.spare_capacity_share) * capacity:
+            return f"its cores are needed: {load:.1f} in use, {capacity:.1f} left without it"
         return None
 
-    def in_words(self, now, name, rows):
-        row = next((row for row in rows if row.server == name and row.state != WAITING), None)
-        if row is None:
-            return f"{name}, which was lost"
-        return f"{name}, {STATES[row.state]} for {now - self.since.get(name, (0, now))[1]:.0f} s"
-
-    # ---- the table's effects
-
-    def step(self, row, given, life=None):
-        found = TABLE.get((row.state, given))
-        if found is None:
-            return []
-        state, effect = found
-        return getattr(self, "do_" + effect)(row, state, life)
-
-    def do_grant(self, row, state, life):
-        return [("turn", row._replace(state=state, life=life, passed=0, late=False).packed())]
-
-    def do_move(self, row, state, life):
-        return [("turn", row._replace(state=state, late=False).packed())]
-
-    def do_line_up(self, row, state, life):
-        return [("turn", row._replace(state=state, fence=0, life=0).packed())]
-
-    def do_return_(self, row, state, life):
-        return [("turn", row._replace(state=state, life=life, late=False).packed())]
-
-    def do_tell_late(self, row, state, life):
-        if not self.limits.keep:
-            return [("turned", row.server)]
-        return [("turn", row._replace(late=True).packed())]
-
-    def do_end(self, row, state, life):
-        return [("turned", row.server)]
-
-    # ---- what a server is told
-
-    def word(self, now, row, view):
-        """(verb, fence) for a server that reports: "stay", "out", "work" or "back"."""
-        if row is None or row.state == WAITING:
-            return "stay", 0
-        if row.state == WARMING and view.life >= row.life:
-            return "returned", row.fence
-        if view.life > row.life:
-            return "stay", 0
-        if row.state == GRANTED:
-            if row.unwanted:
-                return "stay", 0
-            self.granted_at[row.server] = now
-            return "out", row.fence
-        if row.state == WORKING and view.doing == EMPTY:
-            return "work", row.fence
-        if row.state == RETURNING and view.doing == EMPTY:
-            return "back", row.fence
-        return "stay", row.fence
+    def _describe_unavailable(self, now: float, name: str, records: Sequence[MaintenanceRecord]) -> str:
+        for record in records:
+            if record.server == name and record.state != RecordState.WAITING:
+                observed = self.observed_states.get(name)
+                seconds = 0.0 if observed is None else now - observed.since
+                return f"{name}, {STATE_TEXTS[record.state]} for {seconds:.0f} s"
+        return f"{name}, which was lost"
+
+    def step(
+        self, record: MaintenanceRecord, received: ScheduleInput, incarnation: int | None = None
+    ) -> list[ScheduleEntry]:
+        """Return the log entries of one input's transition; see `record_transitions.step`."""
+        return step(record, received, incarnation, self.limits.keep_missing)
+
+    # ---- answers to reports
+
+    def response_to(self, now: float, record: MaintenanceRecord | None, view: ServerView) -> Response:
+        """Return the answer to a server's report, and remember when a grant was sent."""
+        if record is None or record.state == RecordState.WAITING:
+            return Response(Instruction.CONTINUE, 0)
+        if record.state == RecordState.WARMING_UP and view.incarnation >= record.incarnation:
+            return Response(Instruction.ACKNOWLEDGE_RETURN, record.fencing_token)
+        withdrawn = record.state == RecordState.GRANTED and record.cancelled
+        if view.incarnation > record.incarnation or withdrawn:
+            return Response(Instruction.CONTINUE, 0)
+        if record.state == RecordState.GRANTED:
+            self.grant_sent_at[record.server] = now
+            return Response(Instruction.DRAIN, record.fencing_token)
+        instruction = Instruction.CONTINUE
+        if view.reported_state == RecordState.DRAINED:
+            instruction = INSTRUCTIONS_WHEN_DRAINED.get(record.state, Instruction.CONTINUE)
+        return Response(instruction, record.fencing_token)
--- /dev/null
+++ b/valeturn/maintenance/hooks.py
@@ -0,0 +1,57 @@
+"""Run the operator's commands on a machine that is drained, or that is back."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from ..cluster.node import Fleet
+from ..cluster.task_processes import Runs
+
+HOOK_NAME = "turn"
+"""The name under which a hook runs; commands read it from VALETURN_DUTY."""
+TERMINATION_PATIENCE = 1.0
+"""Seconds that a hook's processes have to end by themselves before they are killed."""
+
+
+class HookRunner:
+    """Runs one command at a time, under a guard process that ends it when its time is over."""
+
+    def __init__(self, node: Fleet, log: Callable[[str, dict[str, Any]], None]) -> None:
+        """Use the node's scheduler, clock and environment for the commands.
+
+        Args:
+            node: This server's cluster node.
+            log: Takes the name of an event and its fields.
+        """
+        self.node = node
+        self.log = log
+        self.ended = True
+        self.processes = Runs(node.scheduler, node.runs.environment, self._on_ended)
+
+    def start(self, command: str, fencing_token: int, time_limit: float) -> None:
+        """Start a command; `ended` turns true when it and all that it started are gone.
+
+        Args:
+            command: For the shell.
+            fencing_token: Of the grant that it runs under.
+            time_limit: Seconds after which it is ended.
+        """
+
+        def token_of(name: str) -> int:
+            return fencing_token
+
+        self.ended = False
+        failure = self.processes.start(HOOK_NAME, command, fencing_token, TERMINATION_PATIENCE)
+        if failure is not None:
+            self._on_ended(HOOK_NAME, {"code": None, "why": failure, "tail": ""})
+        now: float = self.node.seams.to_boot(self.node.clock())  # type: ignore[operator]  # untyped yet
+        self.processes.lease(token_of, now + time_limit)
+
+    def _on_ended(self, name: str, outcome: dict[str, Any]) -> None:
+        self.ended = True
+        self.log("maintenance_hook_ended", outcome)
+
+    def close(self) -> None:
+        """Let all processes end, as at the end of the server."""
+        self.processes.close_all()
--- a/valeturn/maintenance/local_drain.py
+++ b/valeturn/maintenance/local_drain.py
@@ -1,79 +1,188 @@
-"""What one server does about its turn: a table of state, input, next state, effect. No I/O."""
+"""Decide what one server does about its own maintenance: a table of state, input, next state and effect.
+
+This module does no I/O. The leader's instructions come in as answers to reports; an instruction is carried
+out only under a valid fencing token and only for as long as the leader itself counts on it.
+"""
 
 from __future__ import annotations
 
 from collections import deque
+from enum import Enum, IntEnum
+from typing import NamedTuple
+
+from .messages import Instruction
+
+
+class LocalDrainState(IntEnum):
+    """How far this server is in its maintenance."""
+
+    SERVING = 0
+    DRAINING = 1  # under a grant of the leader
+    DRAINED = 2  # waits for the leader's permission to start maintenance
+    IN_MAINTENANCE = 3  # its hook runs; the process ends after that
+    RESTARTING = 4  # starts anew without maintenance
+    SHUTTING_DOWN = 5  # after a termination signal, or without its maintenance
+
+
+class LocalDrainInput(Enum):
+    """What can happen to a server that may be drained."""
+
+    DRAIN_GRANTED = "drain_granted"
+    MAINTENANCE_ALLOWED = "maintenance_allowed"
+    RESTART_INSTRUCTED = "restart_instructed"
+    TERMINATION_SIGNALLED = "termination_signalled"  # by the platform
+    DRAIN_COMPLETED = "drain_completed"  # no request is read, queued, running, unanswered or in doubt
+    LEADER_LOST = "leader_lost"  # no answer of a leader for too long
+
+
+class LocalDrainEffect(Enum):
+    """What the caller has to do after a transition."""
+
+    START_DRAIN = "start_drain"
+    SHUT_DOWN = "shut_down"
+    REPORT_DRAINED = "report_drained"
+    START_MAINTENANCE = "start_maintenance"
+    RESTART = "restart"
+    EXIT = "exit"
+
+
+class Transition(NamedTuple):
+    """One entry of the table."""
+
+    next_state: LocalDrainState
+    effect: LocalDrainEffect
 
-# SERVES: as ever. DRAINS: under a grant. EMPTY: waits for the word that its work may begin. AT_WORK: its hook
-# runs, then it ends. GOES_BACK: it starts anew in place. LEAVES: by the platform's notice, which goes first.
-SERVES, DRAINS, EMPTY, AT_WORK, GOES_BACK, LEAVES = range(6)
-STATES = ("serves", "drains for its turn", "empty", "at work", "comes back", "leaves")
-# OUT, WORK, BACK: the owner's words under a fence that is good. NOTICE: the platform's notice to leave.
-# DRAINED: nothing is read, held, running, owed or in doubt. ALONE: no word of an owner for too long.
-OUT, WORK, BACK, NOTICE, DRAINED, ALONE = range(6)
-
-TABLE = {
-    (SERVES, OUT): (DRAINS, "drain"),
-    (SERVES, NOTICE): (LEAVES, "leave"),
-    (DRAINS, DRAINED): (EMPTY, "tell"),
-    (DRAINS, NOTICE): (LEAVES, "leave"),
-    (EMPTY, WORK): (AT_WORK, "work"),
-    (EMPTY, BACK): (GOES_BACK, "go_back"),
-    (EMPTY, NOTICE): (LEAVES, "end"),
-    (EMPTY, ALONE): (LEAVES, "end"),
+
+STATE_TEXTS = {
+    LocalDrainState.SERVING: "serves",
+    LocalDrainState.DRAINING: "drains for its turn",
+    LocalDrainState.DRAINED: "empty",
+    LocalDrainState.IN_MAINTENANCE: "at work",
+    LocalDrainState.RESTARTING: "comes back",
+    LocalDrainState.SHUTTING_DOWN: "leaves",
+}
+"""The states as `valeturn status` prints them; operators' scripts may compare them."""
+
+TRANSITIONS = {
+    (LocalDrainState.SERVING, LocalDrainInput.DRAIN_GRANTED): Transition(
+        LocalDrainState.DRAINING, LocalDrainEffect.START_DRAIN
+    ),
+    (LocalDrainState.SERVING, LocalDrainInput.TERMINATION_SIGNALLED): Transition(
+        LocalDrainState.SHUTTING_DOWN, LocalDrainEffect.SHUT_DOWN
+    ),
+    (LocalDrainState.DRAINING, LocalDrainInput.DRAIN_COMPLETED): Transition(
+        LocalDrainState.DRAINED, LocalDrainEffect.REPORT_DRAINED
+    ),
+    (LocalDrainState.DRAINING, LocalDrainInput.TERMINATION_SIGNALLED): Transition(
+        LocalDrainState.SHUTTING_DOWN, LocalDrainEffect.SHUT_DOWN
+    ),
+    (LocalDrainState.DRAINED, LocalDrainInput.MAINTENANCE_ALLOWED): Transition(
+        LocalDrainState.IN_MAINTENANCE, LocalDrainEffect.START_MAINTENANCE
+    ),
+    (LocalDrainState.DRAINED, LocalDrainInput.RESTART_INSTRUCTED): Transition(
+        LocalDrainState.RESTARTING, LocalDrainEffect.RESTART
+    ),
+    (LocalDrainState.DRAINED, LocalDrainInput.TERMINATION_SIGNALLED): Transition(
+        LocalDrainState.SHUTTING_DOWN, LocalDrainEffect.EXIT
+    ),
+    (LocalDrainState.DRAINED, LocalDrainInput.LEADER_LOST): Transition(
+        LocalDrainState.SHUTTING_DOWN, LocalDrainEffect.EXIT
+    ),
 }
-VERBS = {"out": OUT, "work": WORK, "back": BACK}
-STAMPS = 8  # reports whose answers are still taken
+"""A pair that is missing changes nothing and has no effect."""
+
+INPUT_OF_INSTRUCTION: dict[str, LocalDrainInput] = {
+    Instruction.DRAIN: LocalDrainInput.DRAIN_GRANTED,
+    Instruction.START_MAINTENANCE: LocalDrainInput.MAINTENANCE_ALLOWED,
+    Instruction.RESTART: LocalDrainInput.RESTART_INSTRUCTED,
+}
+
+REMEMBERED_REPORTS = 8
+"""Reports whose answers are still accepted: at two a lease, more than can be within an answer's validity."""
+
 
+class LocalDrain:
+    """The state machine of one server's drain.
 
-class Place:
-    """lasts: s that an owner's word is good, counted from this server's own asking. patience: s that an empty
-    one waits for a word before it ends without its work."""
+    Times are seconds of one monotonic clock of this server.
+    """
 
-    def __init__(self, now, lasts, patience):
-        self.state, self.fence, self.lasts, self.patience, self.since = SERVES, 0, lasts, patience, now
-        self.heard_at = now  # any word of an owner
-        self.stamps, self.refused, self.seen = deque(maxlen=STAMPS), 0, 0
+    def __init__(self, now: float, response_validity: float, leader_patience: float) -> None:
+        """Start in the state SERVING.
 
-    def asked(self, now):
-        self.stamps.append(now)
+        Args:
+            now: The present time.
+            response_validity: Seconds that the leader's answer is valid, counted from the report it answers.
+            leader_patience: Seconds that a drained server waits for a leader's answer before it exits without
+                its maintenance.
+        """
+        self.state = LocalDrainState.SERVING
+        self.fencing_token = 0
+        self.response_validity = response_validity
+        self.leader_patience = leader_patience
+        self.state_since = now
+        self.leader_contact_at = now
+        self.report_times: deque[float] = deque(maxlen=REMEMBERED_REPORTS)
+        self.rejected_count = 0
+        self.highest_token = 0
+
+    def record_report(self, now: float) -> float:
+        """Remember that a report is sent at `now` and return the timestamp that identifies it."""
+        self.report_times.append(now)
         return now
 
-    def told(self, now, stamp, verb, fence):
-        """The effect to be had, or None. A word that comes late is refused here, at the last look: its place
-        may have been given away meanwhile."""
-        given = VERBS.get(verb)
-        if given is None:
+    def receive_instruction(
+        self, now: float, report_time: float, instruction: str, fencing_token: int
+    ) -> LocalDrainEffect | None:
+        """Take the leader's instruction and return the effect to carry out, if any.
+
+        A late instruction is rejected here, right before its effect: the leader may have granted maintenance
+        to another server in the meantime. Instructions of newer versions that are unknown here are ignored.
+        """
+        received = INPUT_OF_INSTRUCTION.get(instruction)
+        if received is None:
             return None
-        good = stamp in self.stamps and now < stamp + self.lasts and fence >= max(self.seen, self.fence)
-        if not good or self.state != SERVES and fence != self.fence:
-            self.refused += 1
+        if not self._is_valid(now, report_time, fencing_token):
+            self.rejected_count += 1
             return None
-        self.seen = fence
-        effect = self.step(now, given)
-        if effect == "drain":
-            self.fence = fence
+        self.highest_token = fencing_token
+        effect = self.step(now, received)
+        if effect is LocalDrainEffect.START_DRAIN:
+            self.fencing_token = fencing_token
         return effect
 
-    def notice(self, now):
-        return self.step(now, NOTICE)
+    def _is_valid(self, now: float, report_time: float, fencing_token: int) -> bool:
+        if report_time not in self.report_times or now >= report_time + self.response_validity:
+            return False
+        if fencing_token < max(self.highest_token, self.fencing_token):
+            return False
+        return self.state is LocalDrainState.SERVING or fencing_token == self.fencing_token
+
+    def receive_termination_signal(self, now: float) -> LocalDrainEffect | None:
+        """Take the platform's termination signal, which goes before any maintenance."""
+        return self.step(now, LocalDrainInput.TERMINATION_SIGNALLED)
 
-    def drained(self, now):
-        return self.step(now, DRAINED)
+    def complete_drain(self, now: float) -> LocalDrainEffect | None:
+        """Take the end of the drain: nothing is left to answer on this server."""
+        return self.step(now, LocalDrainInput.DRAIN_COMPLETED)
 
-    def tick(self, now):
-        if self.state == EMPTY and now - max(self.since, self.heard_at) > self.patience:
-            return self.step(now, ALONE)
-        return None
+    def tick(self, now: float) -> LocalDrainEffect | None:
+        """Give up waiting once a drained server has received nothing from a leader for too long."""
+        if self.state is not LocalDrainState.DRAINED:
+            return None
+        if now - max(self.state_since, self.leader_contact_at) <= self.leader_patience:
+            return None
+        return self.step(now, LocalDrainInput.LEADER_LOST)
 
-    def heard(self, now):
-        """Any word of an owner: an empty one need not end alone."""
-        self.heard_at = now
+    def record_leader_contact(self, now: float) -> None:
+        """Remember that any answer of a leader came, so that a drained server goes on waiting."""
+        self.leader_contact_at = now
 
-    def step(self, now, given):
-        found = TABLE.get((self.state, given))
-        if found is None:
+    def step(self, now: float, received: LocalDrainInput) -> LocalDrainEffect | None:
+        """Make the table's transition for one input and return its effect, if there is one."""
+        transition = TRANSITIONS.get((self.state, received))
+        if transition is None:
             return None
-        self.state, effect = found
-        self.since = now
-        return effect
+        self.state = transition.next_state
+        self.state_since = now
+        return transition.effect
--- a/valeturn/maintenance/options.py
+++ b/valeturn/maintenance/options.py
@@ -2,52 +2,97 @@
 
 from __future__ import annotations
 
-from typing import NamedTuple
+from typing import Any, NamedTuple, Protocol
 
+from ..operator_config.grammar import Fault, Value
 from ..operator_config.schema import Field, Shape
 from ..operator_config.value_types import One, Quantity, Switch, Text, Whole
-from .drain_schedule import Limits
-
-
-class TurnsOptions(NamedTuple):
-    most: int  # servers out at once
-    share: float  # of all that are known, that may be out at once; one may always
-    one_zone: bool  # only servers of one zone at a time
-    spare: float  # of the cores in service that have to stay free
-    answers: int  # that a server which returned has to have given
-    idle: float  # s that count as proved where nobody asks it
-    work: float  # s that work may take where the request does not say
-    patience: float  # s that an empty server waits for an owner's word before it ends without its work
-    missing: str  # one that does not return: its place is kept, or given on
-    empty: str | None  # a command, run on the machine once it is empty
-    returned: str | None  # and once it is back
-    where: dict = {}
-
-    def limits(self):
-        return Limits(
-            self.most, self.share, self.one_zone, self.spare, self.answers, self.idle, self.missing == "keep"
-        )
+from .drain_schedule import MaintenanceLimits
+
+KEEP_MISSING = "keep"
+"""The value of the key `missing` by which a server that does not return stays unavailable."""
+
+
+class AdmissionSettings(Protocol):
+    """What is needed of the admission controller's settings."""
+
+    servers: int  # that share the load
+
+
+class AdmissionNames(Protocol):
+    """What is needed of the configuration's names."""
+
+    settings: AdmissionSettings
 
 
-def build(values, where):
-    return TurnsOptions(**values, where=where), []
+class ServerConfiguration(Protocol):
+    """What is needed of the server's JSON configuration."""
 
+    names: AdmissionNames
 
-def fit(built, c):
-    faults = []
-    if built.most >= max(2, c.names.settings.servers) and c.names.settings.servers > 1:
-        faults.append(
-            built.where["most"].fault(
-                "all-out", f"most = {built.most} lets all {c.names.settings.servers} servers go out at once"
-            )
+
+class MaintenanceOptions(NamedTuple):
+    """The section's values, in the order of its keys."""
+
+    max_unavailable: int  # servers that may be unavailable at once
+    max_unavailable_share: float  # of all known servers, likewise; one server always may
+    single_zone: bool  # only servers of one zone at a time
+    spare_capacity_share: float  # of the cores in service that has to stay free
+    min_answer_count: int  # that a returned server has to have given
+    idle_proof_time: float  # s after which a returned server counts as proved without any request
+    work_duration: float  # s that maintenance may take where the request does not say
+    leader_patience: float  # s that a drained server waits for a leader's answer before it exits
+    missing: str  # whether a server that does not return stays unavailable, or another may go: keep, give
+    drained_hook: str | None  # a command that is run on the machine once it is drained
+    return_hook: str | None  # a command that is run on the machine once it is back
+    where: dict[str, Value] = {}  # by key: where the value stands in the file
+
+    def limits(self) -> MaintenanceLimits:
+        """Return what the drain schedule needs of the options."""
+        return MaintenanceLimits(
+            self.max_unavailable,
+            self.max_unavailable_share,
+            self.single_zone,
+            self.spare_capacity_share,
+            self.min_answer_count,
+            self.idle_proof_time,
+            self.missing == KEEP_MISSING,
         )
-    return faults
 
 
-def beside(built, sections):
-    if "fleet" not in sections:
-        return [built.where["most"].fault("no-fleet", "[turns] wants a section [fleet]")]
-    return []
+def build(values: dict[str, Any], where: dict[str, Value]) -> tuple[MaintenanceOptions, list[Fault]]:
+    """Return the options from the section's values by key, and no further faults."""
+    options = MaintenanceOptions(
+        max_unavailable=values["most"],
+        max_unavailable_share=values["share"],
+        single_zone=values["one_zone"],
+        spare_capacity_share=values["spare"],
+        min_answer_count=values["answers"],
+        idle_proof_time=values["idle"],
+        work_duration=values["work"],
+        leader_patience=values["patience"],
+        missing=values["missing"],
+        drained_hook=values["empty"],
+        return_hook=values["returned"],
+        where=where,
+    )
+    return options, []
+
+
+def fit(built: MaintenanceOptions, configuration: ServerConfiguration) -> list[Fault]:
+    """Return the faults of the options together with the server's configuration."""
+    server_count = configuration.names.settings.servers
+    if server_count <= 1 or built.max_unavailable < server_count:
+        return []
+    text = f"most = {built.max_unavailable} lets all {server_count} servers go out at once"
+    return [built.where["most"].fault("all-out", text)]
+
+
+def beside(built: MaintenanceOptions, sections: dict[str, Any]) -> list[Fault]:
+    """Return the faults of the options together with the file's other sections."""
+    if "fleet" in sections:
+        return []
+    return [built.where["most"].fault("no-fleet", "[turns] wants a section [fleet]")]
 
 
 SHAPE = Shape(
@@ -61,7 +106,7 @@
         "idle": Field(Quantity("a time", 0.1, 3600.0), 30.0),
         "work": Field(Quantity("a time", 1.0, 86400.0), 600.0),
         "patience": Field(Quantity("a time", 1.0, 3600.0), 60.0),
-        "missing": Field(One(("keep", "give")), "keep"),
+        "missing": Field(One((KEEP_MISSING, "give")), KEEP_MISSING),
         "empty": Field(Text(), None),
         "returned": Field(Text(), None),
     },
--- a/valeturn/server/components/maintenance.py
+++ b/valeturn/server/components/maintenance.py
@@ -4,7 +4,7 @@
 
 from ...control import requests
 from ...degradation.controller import CALM
-from ...maintenance.coordinator import Measured, Turns
+from ...maintenance.coordinator import MaintenanceCoordinator, ServerMeasurement
 from . import Part as Base
 
 TURNED_BACK = 0.2  # of what came since the last look, that is strain
@@ -20,13 +20,13 @@
         self.by_turn = False
 
     def start(self):
-        self.turns = Turns(
+        self.turns = MaintenanceCoordinator(
             self.server.parts["fleet"].fleet, self.built, self.measure, self.go_out, self.server.log
         )
 
     def take(self, built):
-        self.built = self.turns.options = built
-        self.turns.order = None  # the owner begins anew with what is allowed now
+        self.built = built
+        self.turns.apply_options(built)
 
     def measure(self):
         server, now = self.server, self.server.scheduler.clock()
@@ -49,7 +49,7 @@
         level = server.parts.get("level")
         reduced = level is not None and level.reducing.decision.state != CALM
         strained = reduced or lately >= FEW and returned > TURNED_BACK * lately or not core.good
-        return Measured(s.cores, busy, warm, strained, counts.get("out.delivered", 0))
+        return ServerMeasurement(s.cores, busy, warm, strained, counts.get("out.delivered", 0))
 
     def go_out(self):
         self.by_turn = True
@@ -59,16 +59,16 @@
         if self.by_turn:
             self.by_turn = False  # this notice is its own
         elif self.turns is not None:
-            self.turns.noticed()
+            self.turns.receive_termination_signal()
 
     def drained(self):
         if self.turns is not None:
-            self.turns.drained()
-            self.server.again = self.turns.again
+            self.turns.wait_for_maintenance()
+            self.server.again = self.turns.restart_requested
 
     def close(self, patience):
         if self.turns is not None:
-            self.turns.runs.close_all()
+            self.turns.close()
 
     def status(self):
         return {"turns": None if self.turns is None else self.turns.status()}
@@ -78,12 +78,12 @@
             return None
         names = self.named(request)
         why = {
-            "out": lambda: self.turns.ask(
-                names, request.why, request.urgent, request.work or self.built.work
+            "out": lambda: self.turns.request_maintenance(
+                names, request.why, request.urgent, request.work or self.built.work_duration
             ),
-            "back": lambda: self.turns.take_back(names),
-            "hold": lambda: self.turns.hold(True),
-            "go-on": lambda: self.turns.hold(False),
+            "back": lambda: self.turns.cancel_maintenance(names),
+            "hold": lambda: self.turns.pause_grants(True),
+            "go-on": lambda: self.turns.pause_grants(False),
         }[request.what]()
         return requests.good(servers=names) if why is None else requests.refused(why)
 
