--- a/valeturn/maintenance/committed_records.py
+++ b/valeturn/maintenance/committed_records.py
@@ -27,8 +27,8 @@
         """
         encoded = self.node.facts()[1].turns
         if encoded is not self._decoded_from:
-            self._decoded_from = encoded
             self._decoded = [decode_record(fields) for fields in encoded]
+            self._decoded_from = encoded  # last, so that a malformed record is reported at each reading
         return self._decoded
 
     def find(self, server: str) -> MaintenanceRecord | None:
