--- a/valeturn/maintenance/coordinator.py
+++ b/valeturn/maintenance/coordinator.py
@@ -42,7 +42,7 @@
     LocalDrainState.DRAINED: RecordState.DRAINED,
     LocalDrainState.IN_MAINTENANCE: RecordState.DRAINED,
 }
-"""States as the leader is told of them; in all others the server serves as far as the leader is concerned."""
+"""States as a report has them; in all others the server reports that it serves."""
 
 
 class ServerMeasurement(NamedTuple):
@@ -216,7 +216,7 @@
             return
         sleep = self.node.scheduler.sleep
         self.local_drain.complete_drain(self.node.clock())
-        self.next_report_at = 0.0  # the leader is told at once
+        self.next_report_at = 0.0  # report at once
         while self._is_in(LocalDrainState.DRAINED):
             sleep(DRAIN_POLL_INTERVAL)
         if self._is_in(LocalDrainState.IN_MAINTENANCE) and self.options.drained_hook is not None:
--- a/valeturn/maintenance/leader.py
+++ b/valeturn/maintenance/leader.py
@@ -31,7 +31,7 @@
 REPORT_RETENTION = 3600.0
 """Seconds for which a server that has reported counts as one that should be there."""
 MAX_REASON_LENGTH = 64
-"""Characters that are kept of an operator's reason: each record goes into every snapshot of the log."""
+"""Characters that are stored of an operator's reason: each record goes into every snapshot of the log."""
 MIN_WORK_DURATION = 1.0
 """Seconds; the shortest maintenance that may be requested."""
 MAX_WORK_DURATION = 86400.0
