--- a/valeturn/maintenance/coordinator.py
+++ b/valeturn/maintenance/coordinator.py
@@ -25,11 +25,11 @@
 from .status import maintenance_status
 
 REPORT_INTERVAL_LEASES = 0.5
-"""Leases between two reports of a server, so that one may be lost within a lease."""
+"""Leases between two reports of a server."""
 RESPONSE_VALIDITY_LEASES = 1.5
 """Leases within which a server may act on the leader's answer, counted from the report that it answers."""
 REQUEST_PATIENCE = 5.0
-"""Seconds that an operator's request may take to be committed: longer than an election."""
+"""Seconds that an operator's request may take to be committed before it is given up."""
 REQUEST_RETRY_INTERVAL = 0.5
 """Seconds after which an uncommitted request is sent to the leader again: a message may be lost."""
 REQUEST_POLL_INTERVAL = 0.05
--- a/valeturn/maintenance/drain_schedule.py
+++ b/valeturn/maintenance/drain_schedule.py
@@ -21,11 +21,11 @@
 BYPASS_LIMIT = 8
 """Grants to others before a waiting request; then it goes before all others, urgent or not."""
 REPORT_LIFETIME_LEASES = 4.0
-"""Leases after which a report is stale. Reports come twice a lease, so several may be lost."""
+"""Leases after which a report is stale: with two reports a lease, some may be lost before that."""
 SPARE_SHARE_TO_KEEP = 0.5
 """Share of the spare capacity that has to be free still when a drained server's maintenance may begin."""
 NAMES_IN_REASON = 3
-"""Servers that a reason for waiting names; the rest would only fill the operator's screen."""
+"""Servers that a reason for waiting names at the most."""
 
 
 INSTRUCTIONS_WHEN_DRAINED = {
--- a/valeturn/maintenance/hooks.py
+++ b/valeturn/maintenance/hooks.py
@@ -11,7 +11,7 @@
 HOOK_NAME = "turn"
 """The name under which a hook runs; commands read it from VALETURN_DUTY."""
 TERMINATION_PATIENCE = 1.0
-"""Seconds that a hook's processes have to end by themselves before they are killed."""
+"""Seconds between the guard's SIGTERM to a hook's processes and its SIGKILL, at the most."""
 
 
 class HookRunner:
--- a/valeturn/maintenance/leader.py
+++ b/valeturn/maintenance/leader.py
@@ -25,13 +25,13 @@
 Log = Callable[[str, dict[str, Any]], None]
 
 PLAN_INTERVAL_LEASES = 0.25
-"""Leases between two plans: half the interval between reports, so that no report waits for long."""
+"""Leases between two plans: half the interval between two reports of a server."""
 MAX_RECORDS = 1024
 """Maintenance requests at once: one for each server there may be."""
 REPORT_RETENTION = 3600.0
 """Seconds for which a server that has reported counts as one that should be there."""
 MAX_REASON_LENGTH = 64
-"""Characters that are stored of an operator's reason: each record goes into every snapshot of the log."""
+"""Characters that are stored of an operator's reason."""
 MIN_WORK_DURATION = 1.0
 """Seconds; the shortest maintenance that may be requested."""
 MAX_WORK_DURATION = 86400.0
--- a/valeturn/maintenance/server_view.py
+++ b/valeturn/maintenance/server_view.py
@@ -10,7 +10,7 @@
 from .records import RecordState
 
 SUSPECTED_CAPACITY_SHARE = 0.5
-"""Share of its capacity that a server suspected dead counts for: it is lost about as often as it is not."""
+"""Share of its capacity that a server suspected dead counts for, as docs/operators/turns.md says."""
 
 
 class ServerView(NamedTuple):
