--- a/tests/control/test_control_options.py
+++ b/tests/control/test_control_options.py
@@ -15,12 +15,12 @@
 )
 def test_socket_s_path_must_fit_into_its_address(length: int, texts: list[str]) -> None:
     path = "/" + "x" * (length - 1)
-    _, faults = schema.check(f"[control]\nsocket = {path}\n", "f", [options.SHAPE])
+    _, faults = schema.check(f"[control]\nsocket = {path}\n", "f", [options.SCHEMA])
     assert [str(fault) for fault in faults] == texts
 
 
 def test_socket_s_path_is_the_section_s_option() -> None:
-    loaded, faults = schema.check("[control]\nsocket = /run/s\n", "f", [options.SHAPE])
+    loaded, faults = schema.check("[control]\nsocket = /run/s\n", "f", [options.SCHEMA])
     assert faults == []
     assert loaded.get("control").socket_path == "/run/s"
-    assert options.fit(loaded.get("control"), object()) == []
+    assert options.check_deployment(loaded.get("control"), object()) == []
--- a/tests/metrics/test_metrics_options.py
+++ b/tests/metrics/test_metrics_options.py
@@ -11,7 +11,7 @@
 
 
 def test_interval_has_a_default() -> None:
-    loaded, faults = schema.check(SECTION, "f", [options.SHAPE])
+    loaded, faults = schema.check(SECTION, "f", [options.SCHEMA])
     assert faults == []
     assert loaded.get("metrics").file_path == "/var/lib/metrics.prom"
     assert loaded.get("metrics").interval_s == 15.0
@@ -25,6 +25,6 @@
     ],
 )
 def test_memory_limit_must_leave_room_for_the_library(memory_mb: float, texts: list[str]) -> None:
-    loaded, _ = schema.check(SECTION, "f", [options.SHAPE])
-    faults = options.fit(loaded.get("metrics"), SimpleNamespace(memory_mb=memory_mb))
+    loaded, _ = schema.check(SECTION, "f", [options.SCHEMA])
+    faults = options.check_deployment(loaded.get("metrics"), SimpleNamespace(memory_mb=memory_mb))
     assert [str(fault) for fault in faults] == texts
--- a/valeturn/cluster/call_quota.py
+++ b/valeturn/cluster/call_quota.py
@@ -7,6 +7,7 @@
 
 from .fencing import FencingTokens
 from .quota import GrantId, QuotaAllocator, QuotaClient, QuotaGrant, QuotaRequest
+from .replicated_state import ClusterState
 from .task_options import SingletonTaskOptions
 
 # Kinds of the messages between servers; their bytes must not change.
@@ -37,7 +38,7 @@
     def acts(self, name: str) -> int | None:
         """Return the fencing token under which this server may act for a singleton task now."""
 
-    def facts(self) -> tuple[Any, Any, str | None]:
+    def facts(self) -> tuple[int, ClusterState, str | None]:
         """Return the term, the replicated state and the leader as far as they are known here."""
 
     def send(self, name: str, kind: str, fields: list[Any]) -> None:
@@ -155,11 +156,8 @@
     def _lease_holder(self) -> str | None:
         """Return the server that splits the limit, as far as it is known here, or else the leader."""
         _, replicated_state, leader = self.node.facts()
-        task = replicated_state.duty(self.name)
-        if task is None:
-            return leader
-        holder: str = task[1]
-        return holder
+        lease = replicated_state.task_lease(self.name)
+        return leader if lease is None else lease.holder
 
     def _log_change(self, fencing_token: int) -> None:
         fields = {
--- a/valeturn/degradation/conditions.py
+++ b/valeturn/degradation/conditions.py
@@ -198,8 +198,8 @@
         """Parse a condition.
 
         Raises:
-            InvalidValueError: The text is no condition, or a comparison in it names an unknown signal, a wrong unit or a
-                threshold that can never be passed.
+            InvalidValueError: The text is no condition, or a comparison in it names an unknown signal, a
+                wrong unit or a threshold that can never be passed.
         """
         from lark.exceptions import UnexpectedInput
 
--- a/valeturn/degradation/options.py
+++ b/valeturn/degradation/options.py
@@ -128,7 +128,7 @@
     return options, faults
 
 
-def _hysteresis_faults(enter: Comparison, leave: Comparison, place: Value) -> Iterator[Fault]:
+def _hysteresis_faults(enter: Comparison, leave: Comparison, place: LocatedValue) -> Iterator[Fault]:
     """Yield a fault where a level would be left on the same signal that enters it."""
     if enter.signal != leave.signal or enter.relative != leave.relative:
         return
--- a/valeturn/lab/fault_injection/member.py
+++ b/valeturn/lab/fault_injection/member.py
@@ -16,7 +16,7 @@
 
 from ...cluster import node, vote_file
 from ...server.commands import serve
-from ...server.configuration import Wrong
+from ...server.configuration import ConfigurationError
 from ...server.test_overrides import Overrides
 from ...transport.streams import connect
 
@@ -102,7 +102,7 @@
     fleet = node.Seams(clock.now, clock.to_boot, dial, Filling, lambda: time.time() + wall)
     try:
         return serve(config, settings=settings, overrides=Overrides(fleet=fleet))
-    except Wrong as wrong:
+    except ConfigurationError as wrong:
         print(f"valeturn: {wrong}", file=sys.stderr)
         return 2
 
--- a/valeturn/result_store/options.py
+++ b/valeturn/result_store/options.py
@@ -20,7 +20,7 @@
     retry: float  # seconds from a failure of the disk to the next attempt, with a new segment
     where: Mapping[str, Any] = {}  # by key, the place in the operator's file, for faults
 
-    def check_deployment(self, memory_mb: float) -> list[Any]:
+    def check_memory(self, memory_mb: float) -> list[Any]:
         """Return the faults of these values beside the memory limit of the process, in MB."""
         free = memory_mb * 1e6 - limits.MIN_PROCESS_MEMORY
         if self.memory <= free:
@@ -44,7 +44,7 @@
 
 def check_deployment(built: StoreOptions, configuration: Any) -> list[Any]:  # noqa: ANN401 (the server's configuration)
     """Return the faults of the options beside the server's configuration."""
-    return built.fit(configuration.memory_mb)
+    return built.check_memory(configuration.memory_mb)
 
 
 SCHEMA = SectionSchema(
