--- a/tests/lab/test_fault_injection_maintenance.py
+++ b/tests/lab/test_fault_injection_maintenance.py
@@ -140,7 +140,9 @@
     await until_none_left(fleet)
     supervisor.task.cancel()
     tails = [rest for _, event, rest in events(fleet.servers[other]) if event == "maintenance_hook_ended"]
-    assert len(tails) == 2 and "patched" in tails[0] and "back" in tails[1] and "exit_code=0" in tails[0], tails
+    assert len(tails) == 2 and "patched" in tails[0] and "back" in tails[1] and "exit_code=0" in tails[0], (
+        tails
+    )
 
 
 @case(duties=TURNS)
