--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -15,6 +15,7 @@
 import socket
 from types import SimpleNamespace
 from typing import Any
+from unittest import mock
 
 import pytest
 
@@ -40,6 +41,7 @@
 from valeturn.result_store.window_clock import ClockReading as Moment
 from valeturn.result_store.window_clock import StoreTimestamp as Stamp
 from valeturn.server.components import control as control_part
+from valeturn.transport.listener import Listener
 from valeturn.transport.scheduler import Scheduler
 from valeturn.transport.seeded_random import Chance
 from valeturn.transport.streams import Stream
@@ -294,6 +296,11 @@
     return sent, kept
 
 
+def listen_on_any_port(scheduler: Scheduler, address: tuple[str, int], *more: Any) -> Listener:
+    """A listener whose port no other process on this machine can hold: nobody connects to it here."""
+    return Listener(scheduler, (address[0], 0), *more)
+
+
 def say_hello() -> bytes:
     """The first bytes of a link."""
     scheduler = Scheduler()
@@ -304,7 +311,8 @@
         return Stream(scheduler, here)
 
     local = peer_connections.LocalEndpoint(FLEET, "127.77.0.9:4391", lambda: ("n1", 17), ignore)
-    end = peer_connections.PeerConnections(scheduler, local, Chance(1), ignore, dial)
+    with mock.patch.object(peer_connections, "Listener", listen_on_any_port):
+        end = peer_connections.PeerConnections(scheduler, local, Chance(1), ignore, dial)
     end.send("127.77.0.9:4392", "ping", [1, []])
     scheduler.call_later(0.2, scheduler.stop)
     scheduler.run()
