--- a/valeturn/dispatch/gateway_server.py
+++ b/valeturn/dispatch/gateway_server.py
@@ -6,8 +6,8 @@
 import time
 
 from ..protocol import frames
-from ..transport.streams import Trouble
-from .messages import Arrival, Check, ConnectionEnded, Withdrawal
+from ..transport.streams import StreamFault
+from .messages import ConnectionClosed, HealthCheckRequested, SubmissionCancelled, SubmissionReceived
 
 OPEN = 32  # submissions on one connection, as the protocol has it
 CLOSING = 1.0  # s that a gateway has to close once asked to, or to read to the end: some round trips
@@ -55,10 +55,12 @@
         gateways = self.gateways
         while not self.closing:
             got = self.stream.read()
-            if isinstance(got, Trouble):
+            if isinstance(got, StreamFault):
                 if not self.closing:
                     gateways.count("gateway.ended." + got.name.lower())
-                if got is Trouble.CLOSED:  # it may have shut its own side alone, and read what it is told yet
+                if (
+                    got is StreamFault.CLOSED
+                ):  # it may have shut its own side alone, and read what it is told yet
                     self.close()
                 break
             self.take_all(self.decoder.feed(got))
@@ -68,7 +70,7 @@
     def take_all(self, messages):
         if messages:
             self.spoke, self.waits_since = True, None
-        withdrawn = {m.stream for m in messages if isinstance(m, frames.Withdrawn)}
+        withdrawn = {m.stream for m in messages if isinstance(m, frames.CancelRequest)}
         for message in messages:
             if self.ended:
                 return
@@ -88,21 +90,21 @@
         sends none of nobody's: a flood gets no flood of answers."""
         if self.turned_away >= OPEN:
             return
-        if isinstance(message, frames.HealthAsked):
+        if isinstance(message, frames.HealthCheckRequest):
             self.turned_away += 1
             self.stream.write(frames.health(message.stream, False))
         elif (
-            isinstance(message, frames.Submitted)
+            isinstance(message, frames.Submission)
             and self.is_new(message.stream)
             and (not self.gateways.unknown(message))
         ):
             self.turned_away += 1
             self.gateways.count("in.while_closing")
-            self.stream.write(frames.turned_back(message.stream))
+            self.stream.write(frames.rejected(message.stream))
 
     def take(self, message, withdrawn=()):
         count, put = self.gateways.count, self.gateways.put
-        if isinstance(message, frames.Submitted):
+        if isinstance(message, frames.Submission):
             count("in.submissions")
             if not self.is_new(message.stream):
                 self.refuse_connection("stream reused")
@@ -114,22 +116,22 @@
                 self.refuse(message.stream, why)
             else:
                 self.open.add(message.stream)
-                put(Arrival(self, message))
-        elif isinstance(message, frames.Unreadable):
+                put(SubmissionReceived(self, message))
+        elif isinstance(message, frames.InvalidSubmission):
             count("in.submissions")
             if self.is_new(message.stream):
                 self.refuse(message.stream, "unreadable")
             else:
                 self.refuse_connection("stream reused")
-        elif isinstance(message, frames.Withdrawn):
+        elif isinstance(message, frames.CancelRequest):
             count("in.withdrawals")
             if message.stream in self.open:
                 self.open.discard(message.stream)
-                put(Withdrawal(self, message.stream))
-        elif isinstance(message, frames.HealthAsked):
+                put(SubmissionCancelled(self, message.stream))
+        elif isinstance(message, frames.HealthCheckRequest):
             count("in.checks")
             self.idle_since = self.gateways.scheduler.clock()
-            put(Check(self, message.stream, message.deep))
+            put(HealthCheckRequested(self, message.stream, message.deep))
         else:
             self.refuse_connection(message.reason)
 
@@ -165,7 +167,7 @@
     def write_off_open(self):
         """Whoever ends a connection first answers what is owed on it; it may have run."""
         for stream in sorted(self.open):
-            self.stream.write(frames.written_off(stream))
+            self.stream.write(frames.failed(stream))
         self.gateways.nobody_waits(self)
 
     def close(self, linger=CLOSING):
@@ -181,10 +183,10 @@
         self.answer(stream, frames.delivered(stream, result, load))
 
     def turn_back(self, stream, load, retry_in=0.0, final=False):
-        self.answer(stream, frames.turned_back(stream, retry_in, final, load))
+        self.answer(stream, frames.rejected(stream, retry_in, final, load))
 
     def write_off(self, stream, load):
-        self.answer(stream, frames.written_off(stream, load))
+        self.answer(stream, frames.failed(stream, load))
 
     def tell_health(self, stream, load, good):
         self.answer(stream, frames.health(stream, good, load))
@@ -217,7 +219,7 @@
             self.gateways.forget(self)
 
 
-class Gateways:
+class GatewayServer:
     def __init__(self, scheduler, put, names, bounds, count):
         self.scheduler, self.put, self.names, self.bounds, self.count = scheduler, put, names, bounds, count
         self.connections, self.listener, self.idle_timeout = {}, None, 0.0
@@ -237,7 +239,7 @@
             return "workload"
         if self.names.tenants and s.tenant not in self.names.tenants:
             return "tenant"
-        return "reached" if s.reached > time.time() + SKEW else None
+        return "reached" if s.arrived_at > time.time() + SKEW else None
 
     def forget(self, connection):
         if self.connections.pop(connection, self) is None:
@@ -247,7 +249,7 @@
 
     def nobody_waits(self, connection):
         if connection.open:
-            ended = ConnectionEnded(connection, frozenset(connection.open))
+            ended = ConnectionClosed(connection, frozenset(connection.open))
             connection.open.clear()
             self.scheduler.spawn(self.put, ended, name="ended")
 
--- a/valeturn/dispatch/http_exchange.py
+++ b/valeturn/dispatch/http_exchange.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from ..protocol import http
-from ..transport.streams import Trouble, connect
+from ..transport.streams import StreamFault, connect
 
 
 class Stage(Enum):
@@ -23,13 +23,13 @@
 
 class Failure(NamedTuple):
     stage: Stage
-    trouble: Trouble
+    fault: StreamFault
 
 
 def exchange(scheduler, address, request, until):
-    """An Answer, a Malformed, or the Failure that came first."""
+    """A Response, a Malformed, or the Failure that came first."""
     stream = connect(scheduler, address, until - scheduler.clock())
-    if isinstance(stream, Trouble):
+    if isinstance(stream, StreamFault):
         return Failure(Stage.UNSENT, stream)
     try:
         return _answer(scheduler, stream, request, until)
@@ -38,14 +38,14 @@
 
 
 def _answer(scheduler, stream, request, until):
-    stage, answer, decoder = Stage.SENT, None, http.AnswerDecoder()
+    stage, answer, decoder = Stage.SENT, None, http.ResponseDecoder()
     if not stream.write(request):
-        return Failure(stage, stream.trouble)
+        return Failure(stage, stream.fault)
     while answer is None:
         got = stream.read(max(0.0, until - scheduler.clock()))
         if isinstance(got, bytes):
             stage, answer = Stage.PARTLY_ANSWERED, decoder.feed(got)
-        elif got is Trouble.CLOSED and stage is Stage.PARTLY_ANSWERED:
+        elif got is StreamFault.CLOSED and stage is Stage.PARTLY_ANSWERED:
             answer = decoder.end()
         else:
             return Failure(stage, got)
--- a/valeturn/dispatch/ledger_client.py
+++ b/valeturn/dispatch/ledger_client.py
@@ -4,9 +4,9 @@
 
 from ..admission.interface import Outcome
 from ..protocol import http
-from ..transport.streams import Trouble
+from ..transport.streams import StreamFault
 from .http_exchange import Failure, Stage, exchange
-from .messages import CallOver
+from .messages import CallFinished
 
 
 def outcome_of(end):
@@ -14,7 +14,7 @@
     if isinstance(end, Failure):
         if end.stage is Stage.UNSENT:
             return Outcome.UNREACHED
-        return Outcome.TIMED_OUT if end.trouble is Trouble.TIMED_OUT else Outcome.RESET
+        return Outcome.TIMED_OUT if end.fault is StreamFault.TIMED_OUT else Outcome.RESET
     if isinstance(end, http.Malformed):
         return Outcome.RESET
     if end.status == 200:
@@ -24,7 +24,7 @@
     return Outcome.TIMED_OUT if end.status == 504 else Outcome.ERROR
 
 
-class Ledger:
+class LedgerClient:
     def __init__(self, scheduler, address, most, put, count):
         self.scheduler, self.most, self.put, self.count = scheduler, most, put, count
         self.out = {}  # submission -> task
@@ -38,7 +38,7 @@
         self.give_up(number)
         if len(self.out) >= self.most:
             self.count("ledger.over_bound")
-            over = CallOver(number, attempt, Outcome.UNREACHED, 0.0, b"")
+            over = CallFinished(number, attempt, Outcome.UNREACHED, 0.0, b"")
             self.scheduler.spawn(self.put, over, name="bound")
             return
         self.out[number] = self.scheduler.spawn(
@@ -61,7 +61,7 @@
             outcome = outcome_of(end)
             self.count("ledger." + outcome.name.lower())
             if isinstance(end, Failure):
-                self.count(f"ledger.{end.stage.name.lower()}.{end.trouble.name.lower()}")
+                self.count(f"ledger.{end.stage.name.lower()}.{end.fault.name.lower()}")
             elif isinstance(end, http.Malformed):
                 self.count("ledger.malformed")
             reply = end.body if outcome is Outcome.DONE else b""
@@ -70,4 +70,4 @@
             # One that was given up has no place any more, and nothing is to be told of it.
             if self.out.get(number) is self.scheduler.current():
                 del self.out[number]
-                self.put(CallOver(number, attempt, outcome, self.scheduler.clock() - began, reply))
+                self.put(CallFinished(number, attempt, outcome, self.scheduler.clock() - began, reply))
--- a/valeturn/dispatch/messages.py
+++ b/valeturn/dispatch/messages.py
@@ -5,70 +5,70 @@
 from typing import NamedTuple
 
 from ..admission.interface import Outcome
-from ..protocol.submitted import Submitted
+from ..protocol.submission import Submission
 
 
-class Arrival(NamedTuple):
+class SubmissionReceived(NamedTuple):
     connection: object
-    submission: Submitted
+    submission: Submission
 
 
-class Withdrawal(NamedTuple):
+class SubmissionCancelled(NamedTuple):
     connection: object
     stream: int
 
 
-class ConnectionEnded(NamedTuple):
+class ConnectionClosed(NamedTuple):
     connection: object
     streams: frozenset  # that were open on it
 
 
-class Check(NamedTuple):
+class HealthCheckRequested(NamedTuple):
     connection: object
     stream: int
     deep: bool
 
 
-class LinkUp(NamedTuple):
+class ExecutorConnected(NamedTuple):
     cold: bool
     age: float
 
 
-class LinkDown(NamedTuple):
+class ExecutorDisconnected(NamedTuple):
     arrived: float  # all commands that were sent before this moment are known to have arrived
 
 
-class Doubt(NamedTuple):
+class InDoubtCheckDue(NamedTuple):
     """It is time to find out whether a run that may have been lost with a link ever began."""
 
     number: int
 
 
-class NoticesMissed(NamedTuple):
+class NoticesLost(NamedTuple):
     """The executor no longer keeps some that were not read."""
 
 
-class DiskNews(NamedTuple):
+class StoreProgressed(NamedTuple):
     """The store's helper has done something."""
 
 
-class CallOver(NamedTuple):
+class CallFinished(NamedTuple):
     number: int  # of the submission
     attempt: int
     outcome: Outcome
-    took: float
+    duration: float
     body: bytes
 
 
-class Told(NamedTuple):
+class DeferredEvent(NamedTuple):
     """What a turn found out and the module is to hear in the next one."""
 
     event: object
 
 
-class Leaving(NamedTuple):
-    left: float
+class DrainRequested(NamedTuple):
+    time_left: float
 
 
-class Stopping(NamedTuple):
+class StopRequested(NamedTuple):
     """All that is still owed gets its answer now."""
--- a/valeturn/dispatch/pending_request.py
+++ b/valeturn/dispatch/pending_request.py
@@ -12,7 +12,7 @@
 UNSENT = (IDLE, NOTED, WANTED)  # the executor has heard nothing of it
 
 
-class Open:
+class PendingRequest:
     """A submission that is owed an answer, runs, or both."""
 
     __slots__ = (
--- a/valeturn/dispatch/registry_client.py
+++ b/valeturn/dispatch/registry_client.py
@@ -11,14 +11,14 @@
 PATIENCE = 0.5  # s for one: with EVERY less than half of the 3 s, so that one hung report leaves room for two
 
 
-class Reporter:
-    def __init__(self, scheduler, address, name, chance, count):
+class RegistryClient:
+    def __init__(self, scheduler, address, name, random_source, count):
         self.scheduler, self.name, self.count = scheduler, name, count
-        self.chance, self.backoff = chance, Backoff(chance, 0.05, EVERY)
+        self.random_source, self.backoff = random_source, Backoff(random_source, 0.05, EVERY)
         self.serving = self.idle = self.again = False
         self.reported_at = scheduler.clock()  # the last that may have counted
         self.move(address)
-        self.task = scheduler.spawn_lasting(self.run, name="naming")
+        self.task = scheduler.spawn_supervised(self.run, name="naming")
 
     def move(self, address):
         """Reports go to this address from now on, the first at once."""
@@ -49,7 +49,7 @@
                 self.idle = False
 
     def every(self):
-        return EVERY * (1 - APART * self.chance.share())
+        return EVERY * (1 - APART * self.random_source.random())
 
     def report(self):
         """True where it may have counted: one that was sent whole and then met silence counts as sent."""
@@ -57,7 +57,7 @@
         head = [("Content-Type", "application/json")]
         request = http.request("PUT", f"/ns/hosts/{self.name}", self.host, head, body)
         end = exchange(self.scheduler, self.address, request, self.scheduler.clock() + PATIENCE)
-        if isinstance(end, http.Answer) and end.status == 204:
+        if isinstance(end, http.Response) and end.status == 204:
             self.count("naming.reports")
             return True
         silent = isinstance(end, Failure) and end.stage is Stage.SENT
--- a/valeturn/dispatch/turn_pacing.py
+++ b/valeturn/dispatch/turn_pacing.py
@@ -12,7 +12,7 @@
 MOST = 0.006  # s: at full use a dozen events share a turn, and four such waits fit well into a goal
 
 
-class Pace:
+class TurnPacing:
     def __init__(self, clock, cores, used=time.process_time):
         self.clock, self.cores, self.used = clock, cores, used
         self.at, self.before, self.share = clock(), used(), 0.0
--- a/valeturn/lab/emulator.py
+++ b/valeturn/lab/emulator.py
@@ -13,10 +13,10 @@
 import math
 from typing import NamedTuple
 
-from ..admission import interface as it
-from ..admission.controller import Rules
-from ..dispatch.degradation_monitor import Reducing
-from ..transport.seeded_random import Chance
+from ..admission import interface
+from ..admission.controller import AdmissionController
+from ..dispatch.degradation_monitor import DegradationMonitor
+from ..transport.seeded_random import SeededRandom
 
 LAG = 1.5  # s that callers' lists are behind
 BACK_OFF = 0.1  # s after which a caller comes again where it was not told when
@@ -38,7 +38,7 @@
 
     servers: int
     seconds: float
-    settings: it.Settings
+    settings: interface.Settings
     mix: tuple  # of Mix, by workload
     load: object  # t -> submissions a second, over all servers
     call_time: float = 0.02  # s, of an idle dependency
@@ -106,9 +106,11 @@
         self.moved_at, self.version, self.cold, self.born = now, 0, cold, now
         self.numbers = getattr(self, "numbers", 0)
         self.busy = 0.0
-        s = scene.settings._replace(cold=cold)
+        s = scene.settings._replace(starts_cold=cold)
         self.rules = self.world.make_rules(s, self.seed, now)
-        self.reducing = Reducing(now, scene.levels, s, self.count, lambda *_: None) if scene.levels else None
+        self.reducing = (
+            DegradationMonitor(now, scene.levels, s, self.count, lambda *_: None) if scene.levels else None
+        )
         self.decide(self.reducing.told(now, [], {}) if self.reducing else [])
 
     def count(self, name):
@@ -119,8 +121,11 @@
     def speed(self):
         s = self.world.scene.settings
         warm = 1.0
-        if self.cold and s.cold_time:
-            warm = min(1.0, s.cold_speed + (1 - s.cold_speed) * (self.world.now - self.born) / s.cold_time)
+        if self.cold and s.warm_up_time:
+            warm = min(
+                1.0,
+                s.cold_start_speed + (1 - s.cold_start_speed) * (self.world.now - self.born) / s.warm_up_time,
+            )
         on = len(self.runs)
         return warm * min(1.0, s.cores / on) if on else warm
 
@@ -160,13 +165,13 @@
         if run.after is not None:
             run.left, run.after = run.after, None
             self.calls[number] = run
-            return [it.AtCall(number)]
+            return [interface.CallRequested(number)]
         return [self.over(number, run)]
 
     def over(self, number, run):
         sub = self.subs.pop(number)
         self.world.answered(self, sub, "delivered")
-        return it.Ended(number, it.Outcome.DONE, 0.0)
+        return interface.Ended(number, interface.Outcome.DONE, 0.0)
 
     # ---- the module
 
@@ -175,8 +180,8 @@
         self.move()
         if self.reducing:
             for e in events:
-                if isinstance(e, it.CallEnded):
-                    self.reducing.call_ended(now, e.outcome, e.took)
+                if isinstance(e, interface.CallEnded):
+                    self.reducing.call_ended(now, e.outcome, e.duration)
         later = []
         for action in self.rules.decide(now, events):
             act = self.DOES.get(type(action))
@@ -197,15 +202,15 @@
         self.subs[self.numbers] = sub
         if self.reducing:
             self.reducing.signals.record_request(world.now, 0.0)
-        hint = sub.work * math.exp(0.3 * (world.chance.share() - 0.5))
+        hint = sub.work * math.exp(0.3 * (world.random_source.random() - 0.5))
         self.decide(
             [
-                it.Arrived(
+                interface.Arrived(
                     id=self.numbers,
                     workload=sub.workload,
                     tenant=sub.tenant,
-                    left=max(0.0, sub.due - world.now),
-                    rank=world.chance.share(),
+                    time_left=max(0.0, sub.due - world.now),
+                    rank=world.random_source.random(),
                     memory=8.0,
                     cost_hint=hint,
                     caller=1,
@@ -218,17 +223,17 @@
             return
         now, events = self.world.now, []
         self.move()
-        gauges = it.Gauges(self.busy, len(self.runs), 8.0 * len(self.subs), 10)
+        gauges = interface.Gauges(self.busy, len(self.runs), 8.0 * len(self.subs), 10)
         if self.reducing:
             self.reducing.gauged(now, gauges)
             events = self.reducing.sweep(
-                now, self.cold and now - self.born < self.world.scene.settings.cold_time
+                now, self.cold and now - self.born < self.world.scene.settings.warm_up_time
             )
             rank = self.reducing.decision.active_level()
             self.world.totals.by_second[int(now)][2] += (
                 (rank.rank if rank else 0) * SWEEP / self.world.scene.servers
             )
-        self.decide([*events, it.Woken(0, gauges)])
+        self.decide([*events, interface.TimerFired(0, gauges)])
         self.world.at(now + SWEEP, self.wake)
 
     def do_start(self, a):
@@ -240,7 +245,7 @@
     def do_halt(self, a):
         if self.runs.pop(a.id, None) is not None or self.calls.pop(a.id, None) is not None:
             self.subs.pop(a.id, None)
-            return it.Ended(a.id, it.Outcome.CANCELLED, 0.0)
+            return interface.Ended(a.id, interface.Outcome.CANCELLED, 0.0)
 
     def do_turn_back(self, a):
         sub = self.subs.pop(a.id)
@@ -258,7 +263,7 @@
             self.world.answered(self, sub, "written off")
             if a.id in self.calls:  # the run ends at its call
                 del self.calls[a.id], self.subs[a.id]
-                return it.Ended(a.id, it.Outcome.CANCELLED, 0.0)
+                return interface.Ended(a.id, interface.Outcome.CANCELLED, 0.0)
             if a.id not in self.runs:
                 del self.subs[a.id]
 
@@ -266,8 +271,14 @@
         world, run = self.world, self.calls[a.id]
         run.state += 1
         took, failed = world.call()
-        lasts = min(took, a.wait)
-        outcome = it.Outcome.TIMED_OUT if took > a.wait else it.Outcome.ERROR if failed else it.Outcome.DONE
+        lasts = min(took, a.timeout)
+        outcome = (
+            interface.Outcome.TIMED_OUT
+            if took > a.timeout
+            else interface.Outcome.ERROR
+            if failed
+            else interface.Outcome.DONE
+        )
         world.calls_out += 1
         world.at(world.now + lasts, self.call_over, a.id, run, run.state, outcome, lasts)
 
@@ -275,9 +286,9 @@
         self.world.calls_out -= 1
         if not self.up or self.calls.get(number) is not run or run.state != state:
             return
-        if outcome is it.Outcome.DONE:
+        if outcome is interface.Outcome.DONE:
             self.runs[number] = self.calls.pop(number)
-        self.decide([it.CallEnded(number, outcome, took)])
+        self.decide([interface.CallEnded(number, outcome, took)])
 
     def do_go_without(self, a):
         run = self.calls.pop(a.id)
@@ -285,12 +296,12 @@
         self.runs[a.id] = run
 
     DOES = {
-        it.Start: do_start,
-        it.Halt: do_halt,
-        it.TurnBack: do_turn_back,
-        it.WriteOff: do_write_off,
-        it.Call: do_call,
-        it.GoWithout: do_go_without,
+        interface.Start: do_start,
+        interface.Interrupt: do_halt,
+        interface.Reject: do_turn_back,
+        interface.Fail: do_write_off,
+        interface.Call: do_call,
+        interface.BypassCall: do_go_without,
     }
 
     def crash(self):
@@ -302,15 +313,23 @@
 
 class World:
     def __init__(self, scene, seed):
-        self.scene, self.chance, self.now, self.heap, self.sequence = scene, Chance(seed), 0.0, [], 0
+        self.scene, self.random_source, self.now, self.heap, self.sequence = (
+            scene,
+            SeededRandom(seed),
+            0.0,
+            [],
+            0,
+        )
         self.totals, self.calls_out = Totals(scene), 0
         for _ in range(8):
-            self.chance.share()  # seeds side by side begin alike
-        self.demand = self.chance  # for what callers want; a stream of its own is the same for any policy
+            self.random_source.random()  # seeds side by side begin alike
+        self.demand = (
+            self.random_source
+        )  # for what callers want; a stream of its own is the same for any policy
         self.servers = [self.make_server(n, seed * 1000 + n) for n in range(scene.servers)]
         self.lists = [(0.0, list(self.servers))]  # (from when, those on callers' lists)
         for server in self.servers:
-            self.at(SWEEP * self.chance.share(), server.wake)
+            self.at(SWEEP * self.random_source.random(), server.wake)
         for t, share, down, cold in scene.crashes:
             self.at(t, self.crash, share, down, cold)
         self.at(0.0, self.next_arrival)
@@ -319,7 +338,7 @@
         return Server(self, n, False, seed)
 
     def make_rules(self, settings, seed, now):
-        return Rules(settings, seed, now)
+        return AdmissionController(settings, seed, now)
 
     def at(self, when, action, *args):
         self.sequence += 1
@@ -340,29 +359,29 @@
         if rate > 0:
             self.submit()
         if self.now < self.scene.seconds:
-            self.at(self.now - math.log(1 - self.demand.share()) / max(1e-3, rate), self.next_arrival)
+            self.at(self.now - math.log(1 - self.demand.random()) / max(1e-3, rate), self.next_arrival)
 
     def submit(self):
-        draw, workload = self.chance.share(), 0
+        draw, workload = self.random_source.random(), 0
         for workload, mix in enumerate(self.scene.mix):
             draw -= mix.share
             if draw < 0:
                 break
         w, mix = self.scene.settings.workloads[workload], self.scene.mix[workload]
-        work = mix.work * -math.log(1 - self.chance.share()) * 0.5 + mix.work * 0.5
+        work = mix.work * -math.log(1 - self.random_source.random()) * 0.5 + mix.work * 0.5
         tenants = len(self.scene.settings.tenants)
-        tenant = int(self.chance.share() * tenants) if tenants else None
-        sub = Submission(self.now, workload, work, self.now + w.cut_off, tenant)
+        tenant = int(self.random_source.random() * tenants) if tenants else None
+        sub = Submission(self.now, workload, work, self.now + w.timeout, tenant)
         self.totals.sent[workload] += 1
-        self.totals.all_worth += w.revenue
-        self.totals.by_second[int(self.now)][0] += w.revenue
+        self.totals.all_worth += w.value
+        self.totals.by_second[int(self.now)][0] += w.value
         self.send(sub)
 
     def send(self, sub):
         while len(self.lists) > 1 and self.lists[1][0] <= self.now:
             self.lists.pop(0)
         listed = self.lists[0][1]
-        server = listed[int(self.chance.share() * len(listed))] if listed else None
+        server = listed[int(self.random_source.random() * len(listed))] if listed else None
         sub.tries += 1
         if server is None or not server.up:
             self.turned_back(server, sub)
@@ -370,7 +389,9 @@
             server.arrive(sub)
 
     def turned_back(self, server, sub, action=None):
-        wait = max(BACK_OFF, action.retry_in if action else 0.0) * (0.75 + 0.5 * self.chance.share())
+        wait = max(BACK_OFF, action.retry_after if action else 0.0) * (
+            0.75 + 0.5 * self.random_source.random()
+        )
         if sub.tries < TRIES and self.now + wait < sub.due:
             self.at(self.now + wait, self.send, sub)
             return
@@ -385,11 +406,13 @@
             self.totals.written_off += 1
             return
         w = self.scene.settings.workloads[sub.workload]
-        late = self.now > sub.born + w.latency_goal
+        late = self.now > sub.born + w.latency_objective
         self.totals.delivered[sub.workload] += 1
         self.totals.late[sub.workload] += late
         self.totals.slim[sub.workload] += sub.slim
-        worth = w.revenue * (w.late_share if late else 1.0) * (w.poorer_share if sub.slim else 1.0)
+        worth = (
+            w.value * (w.late_value_share if late else 1.0) * (w.degraded_value_share if sub.slim else 1.0)
+        )
         if self.now <= sub.due:
             self.totals.worth += worth
             self.totals.by_second[int(sub.born)][1] += worth
@@ -399,11 +422,11 @@
     def call(self):
         """(seconds that a call made now takes, whether it fails)"""
         scene = self.scene
-        if self.chance.share() < scene.failing(self.now):
-            return FASTEST * self.chance.share(), True
+        if self.random_source.random() < scene.failing(self.now):
+            return FASTEST * self.random_source.random(), True
         crowd = min(0.97, self.calls_out / scene.call_room)
         mean = scene.call_time * scene.slow(self.now) / (1 - crowd)
-        return mean * (0.5 - 0.5 * math.log(1 - self.chance.share())), False
+        return mean * (0.5 - 0.5 * math.log(1 - self.random_source.random())), False
 
     def crash(self, share, down, cold):
         up = [server for server in self.servers if server.up]
--- a/valeturn/lab/fault_injection/fleet.py
+++ b/valeturn/lab/fault_injection/fleet.py
@@ -14,7 +14,7 @@
 
 from ...cluster.node import boot_clock
 from ...cluster.process_guard import descendants_of
-from ...transport.seeded_random import Chance
+from ...transport.seeded_random import SeededRandom
 from ..addresses import reserve_address
 from ..checker import check
 from ..executor import Executor, Plan
@@ -48,7 +48,7 @@
         self.executor = Executor(fleet.plan)
         self.tries, self.doubled, self.died = [], [], {}
         # Of its own, so that what one server's gateways draw does not depend on the others' timing.
-        self.chance = Chance((fleet.seed << 16) + int(name[1:]))
+        self.random_source = SeededRandom((fleet.seed << 16) + int(name[1:]))
         self.wall = 0.0
 
     # what its gateways ask of their world
@@ -82,7 +82,12 @@
         lease=LEASE,
         fleet=True,
     ):
-        self.folder, self.chance, self.calls, self.fenced = pathlib.Path(folder), warmed_up(seed), 0, fenced
+        self.folder, self.random_source, self.calls, self.fenced = (
+            pathlib.Path(folder),
+            warmed_up(seed),
+            0,
+            fenced,
+        )
         self.seed = seed
         self.fleet = fleet  # False: the same servers without the section, for comparison
         self.lease, self.duties, self.folders, self.load = lease, duties, folders, load
@@ -99,7 +104,7 @@
         return f"{self.calls:016x}"
 
     def plan(self, workload, body):
-        share = self.chance.share()
+        share = self.random_source.random()
         return Plan(0.002 + 0.03 * share * share, workload == "file", False, workload != "quote")
 
     # ---- up and down
--- a/valeturn/lab/fault_injection/schedule.py
+++ b/valeturn/lab/fault_injection/schedule.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import Final, NamedTuple
 
-from ...transport.seeded_random import Chance
+from ...transport.seeded_random import SeededRandom
 from ..random_streams import warmed_up
 
 LEADER: Final = "the leader"  # a target that is found when the fault is played; another where nobody leads
@@ -101,30 +101,33 @@
         lease: The leader's lease in seconds, which the lengths of faults follow.
         pace: Mean seconds between the starts of two faults.
     """
-    chance = warmed_up(seed)
-    return [_draw(chance, servers, lease, pace) for _ in range(count)]
+    random_source = warmed_up(seed)
+    return [_draw(random_source, servers, lease, pace) for _ in range(count)]
 
 
-def _draw(chance: Chance, servers: Sequence[str], lease: float, pace: float) -> ScheduledFault:
+def _draw(random_source: SeededRandom, servers: Sequence[str], lease: float, pace: float) -> ScheduledFault:
     """Draw every field, whatever the kind: one more kind does not move what is drawn for the others."""
-    kind, at_leader = CHOICES[int(chance.share() * len(CHOICES))]
-    fallback = servers[int(chance.share() * len(servers))]
-    lasts = lease * (SHORTEST_FAULT + FAULT_SPREAD * chance.share())
+    kind, at_leader = CHOICES[int(random_source.random() * len(CHOICES))]
+    fallback = servers[int(random_source.random() * len(servers))]
+    lasts = lease * (SHORTEST_FAULT + FAULT_SPREAD * random_source.random())
     if kind is FaultKind.STOP and at_leader:
         lasts += LEADER_STOP_EXTENSION * lease
     links = itertools.permutations(servers, 2)
-    delays = [(link, chance.share() < DELAYED_LINK_SHARE, LONGEST_DELAY * chance.share()) for link in links]
-    inbound = chance.share()
+    delays = [
+        (link, random_source.random() < DELAYED_LINK_SHARE, LONGEST_DELAY * random_source.random())
+        for link in links
+    ]
+    inbound = random_source.random()
     return ScheduledFault(
         kind,
         target=LEADER if at_leader else fallback,
         fallback=fallback,
-        peer=servers[int(chance.share() * len(servers))],
-        side=frozenset(name for name in servers if chance.share() < 0.5),
+        peer=servers[int(random_source.random() * len(servers))],
+        side=frozenset(name for name in servers if random_source.random() < 0.5),
         delays=tuple((link, delay) for link, delayed, delay in delays if delayed),
-        whole=chance.share() < WHOLE_STOP_SHARE,
+        whole=random_source.random() < WHOLE_STOP_SHARE,
         inbound=at_leader or inbound < 0.5,
-        clock_rate=1 + CLOCK_RATE_SPREAD * (chance.share() - 0.5),
+        clock_rate=1 + CLOCK_RATE_SPREAD * (random_source.random() - 0.5),
         lasts=lasts,
-        pause=pace * (SHORTEST_PAUSE + PAUSE_SPREAD * chance.share()),
+        pause=pace * (SHORTEST_PAUSE + PAUSE_SPREAD * random_source.random()),
     )
--- a/valeturn/lab/fault_injection/turns.py
+++ b/valeturn/lab/fault_injection/turns.py
@@ -103,7 +103,7 @@
 async def play(folder, count, faults, seed, most=1, load=6.0):
     """A whole release, with so many faults on the way."""
     fleet = Fleet(folder, count, seed, duties=settings(most), load=load)
-    share, done = fleet.chance.share, 0
+    share, done = fleet.random_source.random, 0
     try:
         await fleet.start()
         await fleet.until_owned(40.0)
--- a/valeturn/lab/fault_injection/virtual.py
+++ b/valeturn/lab/fault_injection/virtual.py
@@ -11,7 +11,7 @@
 from ...cluster.options import ClusterOptions
 from ...cluster.raft import CLOCK_DRIFT
 from ...cluster.task_options import SingletonTaskOptions
-from ...transport.seeded_random import Chance
+from ...transport.seeded_random import SeededRandom
 from ..virtual import Timeline, percentile
 
 LEASE, PROBE, ROUND = 2.0, 1.0, 0.5  # s, the operator's file's own values where it says nothing
@@ -23,7 +23,7 @@
 class VirtualLinks:
     """What `PeerConnections` is to a fleet, over the laboratory's net."""
 
-    def __init__(self, net, scheduler, local, chance, count, dial):
+    def __init__(self, net, scheduler, local, random_source, count, dial):
         self.net, self.open_connections = net, ()
         _, self.listen, self.who, self.hear = local
         net.by_address[self.listen] = self
@@ -43,8 +43,8 @@
 
     def __init__(self, net, number):
         self.net, self.number, self.name, self.up = net, number, f"n{number}", True
-        self.rate = 1 + 0.9 * CLOCK_DRIFT * (net.chance.share() - 0.5)
-        self.cpu, self.need = 0.0, 4 * CAP / net.count * net.chance.share() ** 2
+        self.rate = 1 + 0.9 * CLOCK_DRIFT * (net.random_source.random() - 0.5)
+        self.cpu, self.need = 0.0, 4 * CAP / net.count * net.random_source.random() ** 2
         self.options = ClusterOptions(
             "lab",
             f"10.0.{number // 250}.{number % 250}:7700",
@@ -75,7 +75,7 @@
         )
         self.fleet.singleton_tasks.configure(self.clock(), {"calls": self.net.duty})
         self.fleet.share_calls("calls", self.net.duty, lambda: self.need)
-        self.net.at(TICK * self.net.chance.share(), self.tick, self.fleet)
+        self.net.at(TICK * self.net.random_source.random(), self.tick, self.fleet)
 
     def clock(self):
         return self.net.now * self.rate + 1000.0 * self.number
@@ -101,9 +101,9 @@
 class Net(Timeline):
     def __init__(self, count, seed, loss=0.0):
         super().__init__()
-        self.chance, self.count, self.loss = Chance(seed), count, loss
+        self.random_source, self.count, self.loss = SeededRandom(seed), count, loss
         for _ in range(8):
-            self.chance.share()
+            self.random_source.random()
         self.votes = min(count, limits.VOTERS)
         self.duty = SingletonTaskOptions("share-calls", None, None, 60.0, 0.0, "number", CAP, ROUND)
         self.by_address, self.sent, self.over = {}, 0, 0
@@ -116,11 +116,11 @@
     def send(self, links, at, kind, fields):
         self.sent += 1
         other = self.by_address.get(at)
-        if other is not None and self.chance.share() >= self.loss:
+        if other is not None and self.random_source.random() >= self.loss:
             name, life = links.who()
             # Lists are copied as bytes would be: what one changes later the other does not see.
             message = Message(name, life, kind, copied(fields))
-            self.at(DELAY * (1 + self.chance.share()), self.arrive, other, message, links.listen)
+            self.at(DELAY * (1 + self.random_source.random()), self.arrive, other, message, links.listen)
 
     def arrive(self, links, message, at):
         member = self.by_name[links.who()[0]]
--- a/valeturn/lab/fleet_scenarios/days.py
+++ b/valeturn/lab/fleet_scenarios/days.py
@@ -5,17 +5,24 @@
 import math
 from typing import NamedTuple
 
-from ...admission import interface as it
-from ...transport.seeded_random import Chance
+from ...admission import interface
+from ...transport.seeded_random import SeededRandom
 from ..emulator import Mix
 
 # As the operators' brief has it, rounded: shares, work of one core, goals, cut-offs, what an answer earns.
 WORKLOADS = (
-    it.Workload(
-        "estimate", it.Effect.IDEMPOTENT, 1.9, 4.5, 1.0, late_share=0.2, calls=True, poorer_share=0.6
+    interface.Workload(
+        "estimate",
+        interface.Effect.IDEMPOTENT,
+        1.9,
+        4.5,
+        1.0,
+        late_value_share=0.2,
+        makes_call=True,
+        degraded_value_share=0.6,
     ),
-    it.Workload("parcel-lookup", it.Effect.IDEMPOTENT, 1.1, 2.8, 1.0, late_share=0.2),
-    it.Workload("file-appraisal", it.Effect.UNREPEATABLE, 2.6, 6.4, 3.0, calls=True),
+    interface.Workload("parcel-lookup", interface.Effect.IDEMPOTENT, 1.1, 2.8, 1.0, late_value_share=0.2),
+    interface.Workload("file-appraisal", interface.Effect.UNREPEATABLE, 2.6, 6.4, 3.0, makes_call=True),
 )
 MIX = (Mix(0.48, 0.3, True), Mix(0.3, 0.19, False), Mix(0.22, 0.43, True))
 CORES = 6
@@ -95,26 +102,26 @@
     return number % zones
 
 
-def some(chance, number, share):
+def some(random_source, number, share):
     """So large a share of numbers, drawn without repeats."""
     pool = list(range(number))
     for index in range(number - 1, 0, -1):
-        other = int(chance.share() * (index + 1))
+        other = int(random_source.random() * (index + 1))
         pool[index], pool[other] = pool[other], pool[index]
     return tuple(sorted(pool[: round(share * number)]))
 
 
-def between(chance, low, high):
-    return low + (high - low) * chance.share()
+def between(random_source, low, high):
+    return low + (high - low) * random_source.random()
 
 
 def draw(name, seed, servers, gateways, seconds):
     """The day of that name. Raises KeyError for a name that is none."""
     build = DAYS[name]
-    chance = Chance(seed * 7919 + sum(name.encode()))
+    random_source = SeededRandom(seed * 7919 + sum(name.encode()))
     for _ in range(8):
-        chance.share()  # seeds side by side begin alike
-    zones = 1 + int(chance.share() * 3)
+        random_source.random()  # seeds side by side begin alike
+    zones = 1 + int(random_source.random() * 3)
     day = Day(
         name,
         seed,
@@ -122,22 +129,22 @@
         gateways,
         zones,
         seconds,
-        load=between(chance, 0.6, 0.68),
-        room=between(chance, 1.2, 1.9),
-        heeds=between(chance, 0.7, 1.0),
-        hashes=(0.0, 0.5, 1.0)[int(chance.share() * 3)],
+        load=between(random_source, 0.6, 0.68),
+        room=between(random_source, 1.2, 1.9),
+        heeds=between(random_source, 0.7, 1.0),
+        hashes=(0.0, 0.5, 1.0)[int(random_source.random() * 3)],
     )
-    return build(day, chance)
+    return build(day, random_source)
 
 
-def calm(day, chance):
+def calm(day, random_source):
     at = 0.3 * day.seconds
     return day._replace(
         bursts=((at, at + 6.0, 1.5),), shift=((0.6 * day.seconds, 0.8 * day.seconds, 0, 1.6),)
     )
 
 
-def in_steps(chance, who, first, step, every, back_after, notice):
+def in_steps(random_source, who, first, step, every, back_after, notice):
     """`who` goes in batches, one batch every so many seconds."""
     return tuple(
         Out(first + every * n, tuple(who[start : start + step]), back_after, notice)
@@ -145,33 +152,33 @@
     )
 
 
-def roll(day, chance):
-    who = some(chance, day.servers, 0.5)
+def roll(day, random_source):
+    who = some(random_source, day.servers, 0.5)
     step = max(1, round(0.08 * day.servers))
-    outs = in_steps(chance, who, 5.0, step, max(2.0, (day.seconds - 18.0) * step / len(who)), 4.5, 3.2)
+    outs = in_steps(random_source, who, 5.0, step, max(2.0, (day.seconds - 18.0) * step / len(who)), 4.5, 3.2)
     waves = tuple(Restart(8.0 + 6.0 * n, tuple(range(n, day.gateways, 4)), 2.0) for n in range(4))
     return day._replace(outs=outs, restarts=waves)
 
 
-def herd(day, chance):
-    who = some(chance, day.servers, between(chance, 0.5, 0.9))
+def herd(day, random_source):
+    who = some(random_source, day.servers, between(random_source, 0.5, 0.9))
     step = max(1, round(0.12 * day.servers))
     at = 0.35 * day.seconds
     return day._replace(
-        outs=in_steps(chance, who, 6.0, step, 3.0, 4.5, 3.2),
-        restarts=(Restart(at, some(chance, day.gateways, 0.7), 1.0),),
+        outs=in_steps(random_source, who, 6.0, step, 3.0, 4.5, 3.2),
+        restarts=(Restart(at, some(random_source, day.gateways, 0.7), 1.0),),
         registry_down=((at - 3.0, at + 8.0),),
     )
 
 
-def zone(day, chance):
+def zone(day, random_source):
     lost = (
         tuple(n for n in range(day.servers) if zone_of(n, day.zones) == 0)
         if day.zones > 1
-        else some(chance, day.servers, 0.3)
+        else some(random_source, day.servers, 0.3)
     )
-    odd = frozenset(some(chance, day.servers, 0.125))
-    times, failing = ((between(chance, 4.3, 9.3), 0.0), (1.0, 0.6))[int(2 * chance.share())]
+    odd = frozenset(some(random_source, day.servers, 0.125))
+    times, failing = ((between(random_source, 4.3, 9.3), 0.0), (1.0, 0.6))[int(2 * random_source.random())]
     cuts = ()
     if day.zones > 1:
         apart = frozenset(n for n in range(day.servers) if zone_of(n, day.zones) == 1)
@@ -184,20 +191,20 @@
     )
 
 
-def split(day, chance):
+def split(day, random_source):
     at = 0.4 * day.seconds
     if day.zones > 1:
         apart = frozenset(n for n in range(day.servers) if zone_of(n, day.zones) == 0)
         others = frozenset(n for n in range(day.gateways) if zone_of(n, day.zones) != 0)
     else:
-        apart, others = frozenset(some(chance, day.servers, 0.2)), frozenset(range(day.gateways))
+        apart, others = frozenset(some(random_source, day.servers, 0.2)), frozenset(range(day.gateways))
     return day._replace(cuts=(Cut(at, at + 6.0, apart, others),), list_lag=(5.0, 8.0), silent_lag=(8.0, 14.0))
 
 
-def join(day, chance):
-    who = some(chance, day.servers, 0.6)
+def join(day, random_source):
+    who = some(random_source, day.servers, 0.6)
     step = max(1, round(len(who) / 7))
-    return day._replace(outs=in_steps(chance, who, 0.35 * day.seconds, step, 1.0, 4.5, 3.2))
+    return day._replace(outs=in_steps(random_source, who, 0.35 * day.seconds, step, 1.0, 4.5, 3.2))
 
 
 DAYS = {"calm": calm, "roll": roll, "herd": herd, "zone": zone, "split": split, "join": join}
--- a/valeturn/lab/fleet_scenarios/gateways.py
+++ b/valeturn/lab/fleet_scenarios/gateways.py
@@ -77,7 +77,7 @@
     def forget(self):
         """As after a start."""
         self.names = [n for n, there in self.listed.items() if there]
-        self.turn = int(self.world.chance.share() * max(1, len(self.names)))
+        self.turn = int(self.world.random_source.random() * max(1, len(self.names)))
         self.away, self.levels, self.barred = {}, {}, {}  # server -> until when; (value, until); until
         self.connected = {}  # server -> (life, last used)
 
@@ -119,7 +119,7 @@
             return
         asked.tried.append(server.name)
         w = world.scene.settings.workloads[asked.workload]
-        attempt = Try(asked, self, server, now, min(asked.due, now + TRY_SHARE * w.cut_off))
+        attempt = Try(asked, self, server, now, min(asked.due, now + TRY_SHARE * w.timeout))
         life, used = self.connected.get(server.name, (None, -NEVER))
         fresh = life != server.life or now - used > IDLE
         if world.cut(self, server):
@@ -151,7 +151,7 @@
             world.unserved(attempt.asked, "written off")
         else:
             if self.heeds and action is not None:
-                self.away[server.name] = now + action.retry_in
+                self.away[server.name] = now + action.retry_after
                 if action.final:
                     world.unserved(attempt.asked, "turned back")
                     return
--- a/valeturn/lab/fleet_scenarios/servers.py
+++ b/valeturn/lab/fleet_scenarios/servers.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from ...admission import interface as it
+from ...admission import interface
 from ..emulator import Run, Server
 from . import history_checker as seen
 from .days import INTAKE, MEAN_WORK, NEVER, zone_of
@@ -52,7 +52,7 @@
 
     def most_crowd(self):
         s = self.world.scene.settings
-        return s.cores * s.crowd_factor
+        return s.cores * s.max_concurrency_per_core
 
     # ---- the way in
 
@@ -89,14 +89,14 @@
         attempt.read_at, self.subs[number] = now, attempt
         self.world.at(attempt.due + seen.SLACK, self.world.witness.due, attempt)
         return [
-            it.Arrived(
+            interface.Arrived(
                 id=number,
                 workload=asked.workload,
                 tenant=asked.tenant,
                 rank=asked.rank,
                 memory=8.0,
                 waited=now - attempt.born,
-                left=max(0.0, attempt.due - now),
+                time_left=max(0.0, attempt.due - now),
                 cost_hint=asked.hint,
                 caller=attempt.gateway.number,
             )
@@ -105,7 +105,7 @@
     def over(self, number, run):
         if self.world.fails(self.name):
             self.world.answered(self, self.subs.pop(number), seen.WRITTEN_OFF)
-            return it.Ended(number, it.Outcome.ERROR, 0.0)
+            return interface.Ended(number, interface.Outcome.ERROR, 0.0)
         return super().over(number, run)
 
     def taken_back(self, attempt):
@@ -115,10 +115,10 @@
         number = next((n for n, one in self.subs.items() if one is attempt), None)
         if number is None:
             return
-        events = [it.Gone(number)]
+        events = [interface.CallerGone(number)]
         if number in self.calls:  # the executor ends a run at its call once the caller has gone
             del self.calls[number], self.subs[number]
-            events.append(it.Ended(number, it.Outcome.CANCELLED, 0.0))
+            events.append(interface.Ended(number, interface.Outcome.CANCELLED, 0.0))
         elif number not in self.runs:
             del self.subs[number]
         self.decide(events)
@@ -133,7 +133,7 @@
     def do_say(self, a):
         self.level = a.value
 
-    DOES = {**Server.DOES, it.Start: do_start, it.Say: do_say}
+    DOES = {**Server.DOES, interface.Start: do_start, interface.AdvertiseLoad: do_say}
 
     # ---- the way out
 
@@ -151,7 +151,7 @@
             self.grace_over = self.world.now + s.drain_grace
             self.world.at(min(self.grace_over, self.world.now + notice), self.refuse, self.life)
             self.world.at(self.world.now + notice, self.stopped, self.life)
-            self.decide([it.Leave(notice - 0.15)])
+            self.decide([interface.DrainStarted(notice - 0.15)])
 
     def refuse(self, life):
         if self.life == life:
--- a/valeturn/lab/fleet_scenarios/world.py
+++ b/valeturn/lab/fleet_scenarios/world.py
@@ -4,8 +4,8 @@
 
 import math
 
-from ...admission import interface as it
-from ...transport.seeded_random import Chance
+from ...admission import interface
+from ...transport.seeded_random import SeededRandom
 from ..emulator import Scene, World
 from . import days as d
 from . import history_checker as seen
@@ -19,28 +19,28 @@
 def settings(day):
     calls = day.servers * d.RATE * d.CALLS * d.CALL_TIME  # out at once on the mean, at the full rate
     tenants = (0.27, 0.21, 0.15, 0.14, 0.12, 0.11)
-    return it.Settings(
+    return interface.Settings(
         workloads=d.WORKLOADS,
         tenants=tuple(
-            it.Tenant(f"t{n}", 0.9 * share * day.servers * d.RATE) for n, share in enumerate(tenants)
+            interface.Tenant(f"t{n}", 0.9 * share * day.servers * d.RATE) for n, share in enumerate(tenants)
         ),
         servers=day.servers,
         cores=d.CORES,
         memory=100_000.0,
         run_memory_factor=4.0,
-        halting=it.Halting.DROP,
-        saying=it.Saying.LEVEL,
+        interruption=interface.Interruption.CANCEL,
+        load_advertisement=interface.LoadAdvertisement.LEVEL,
         tick=0.005,
         answer_slack=0.1,
         drain_grace=2.5,
-        crowd_factor=8.0,
-        cold_speed=0.3,
-        cold_time=12.0,
-        calls_share=2 * day.room * calls / day.servers,
-        calls_window=5.0,
+        max_concurrency_per_core=8.0,
+        cold_start_speed=0.3,
+        warm_up_time=12.0,
+        call_quota=2 * day.room * calls / day.servers,
+        call_quota_window=5.0,
         call_linger=0.2,
-        longest_advice=1.0,
-        by_work=True,
+        max_retry_after=1.0,
+        value_per_unit_of_work=True,
     )
 
 
@@ -61,16 +61,18 @@
             call_room=max(4.0, 2 * day.room * calls),
         )
         super().__init__(scene, day.seed)
-        self.demand = Chance(day.seed + 1)
+        self.demand = SeededRandom(day.seed + 1)
         self.gateways = [
-            Gateway(self, n, self.chance.share() < day.heeds, self.chance.share() < day.hashes)
+            Gateway(
+                self, n, self.random_source.random() < day.heeds, self.random_source.random() < day.hashes
+            )
             for n in range(day.gateways)
         ]
         for out in day.outs:
             self.at(out.at, self.go_out, out)
         for restart in day.restarts:
             for n in restart.gateways:
-                self.at(restart.at + restart.over * self.chance.share(), self.gateways[n].forget)
+                self.at(restart.at + restart.over * self.random_source.random(), self.gateways[n].forget)
         self.popular = [0.0]
         for rank in range(1, SUBJECTS + 1):
             self.popular.append(self.popular[-1] + 1.0 / (rank + POPULAR) ** 0.9)
@@ -84,33 +86,33 @@
     # ---- demand
 
     def submit(self):
-        chance = self.demand
-        workload, draw = 0, chance.share()
+        random_source = self.demand
+        workload, draw = 0, random_source.random()
         for workload, mix in enumerate(d.MIX):
             draw -= mix.share
             if draw < 0:
                 break
         w, mix = d.WORKLOADS[workload], d.MIX[workload]
-        work = mix.work * (0.4 - 0.6 * math.log(1 - chance.share()))
-        hint = work * math.exp(SPREAD * (chance.share() + chance.share() - 1))
+        work = mix.work * (0.4 - 0.6 * math.log(1 - random_source.random()))
+        hint = work * math.exp(SPREAD * (random_source.random() + random_source.random() - 1))
         asked = Asked(
             self.now,
             workload,
             work,
             hint,
-            chance.share(),
+            random_source.random(),
             self.tenant(),
             self.subject(),
-            self.now + w.cut_off,
-            w.effect is it.Effect.UNREPEATABLE,
+            self.now + w.timeout,
+            w.effect is interface.Effect.UNREPEATABLE,
         )
         self.totals.sent[workload] += 1
-        self.totals.all_worth += w.revenue * work
-        self.totals.by_second[int(self.now)][0] += w.revenue * work
+        self.totals.all_worth += w.value * work
+        self.totals.by_second[int(self.now)][0] += w.value * work
         self.entry().send(asked)
 
     def tenant(self):
-        draw = self.demand.share()
+        draw = self.demand.random()
         for number, share in enumerate((0.27, 0.21, 0.15, 0.14, 0.12)):
             draw -= share
             if draw < 0:
@@ -119,7 +121,7 @@
 
     def subject(self):
         """By a table of sums, most popular first."""
-        want, low, high = self.demand.share() * self.popular[-1], 0, SUBJECTS
+        want, low, high = self.demand.random() * self.popular[-1], 0, SUBJECTS
         while low < high:
             middle = (low + high) // 2
             low, high = (middle + 1, high) if self.popular[middle + 1] < want else (low, middle)
@@ -127,12 +129,12 @@
 
     def entry(self):
         """The gateway that a client comes to; while traffic shifts, more of them come to one zone's."""
-        chance = self.demand
-        gateway = self.gateways[int(chance.share() * len(self.gateways))]
+        random_source = self.demand
+        gateway = self.gateways[int(random_source.random() * len(self.gateways))]
         for at, until, zone, times in self.day.shift:
-            if at <= self.now < until and gateway.zone != zone and chance.share() < 1 - 1 / times:
+            if at <= self.now < until and gateway.zone != zone and random_source.random() < 1 - 1 / times:
                 there = [one for one in self.gateways if one.zone == zone]
-                gateway = there[int(chance.share() * len(there))]
+                gateway = there[int(random_source.random() * len(there))]
         return gateway
 
     # ---- what became of it
@@ -150,15 +152,15 @@
         if asked.earned is not None:
             return
         w = d.WORKLOADS[asked.workload]
-        late = self.now > asked.born + w.latency_goal
+        late = self.now > asked.born + w.latency_objective
         totals.delivered[asked.workload] += 1
         totals.late[asked.workload] += late
         totals.slim[asked.workload] += attempt.slim
         asked.earned = (
-            w.revenue
+            w.value
             * asked.work
-            * (w.late_share if late else 1.0)
-            * (w.poorer_share if attempt.slim else 1.0)
+            * (w.late_value_share if late else 1.0)
+            * (w.degraded_value_share if attempt.slim else 1.0)
         )
         totals.worth += asked.earned
         totals.by_second[int(asked.born)][1] += asked.earned
@@ -189,7 +191,7 @@
             slow.failing
             and slow.at <= self.now < slow.until
             and name in slow.servers
-            and self.chance.share() < slow.failing
+            and self.random_source.random() < slow.failing
             for slow in self.day.slows
         )
 
@@ -216,10 +218,10 @@
     def change(self, name, there, lag):
         """Each gateway hears of it in its own time, and later where the registry is down."""
         for gateway in self.gateways:
-            when = self.now + d.between(self.chance, *lag)
+            when = self.now + d.between(self.random_source, *lag)
             for at, until in self.day.registry_down:
                 if at <= when < until:
-                    when = until + d.between(self.chance, *lag)
+                    when = until + d.between(self.random_source, *lag)
             self.at(when, gateway.hear, name, there)
 
     def listed(self):
--- a/valeturn/lab/fleetvirtual.py
+++ b/valeturn/lab/fleetvirtual.py
@@ -12,7 +12,7 @@
 
 from ..cluster import codec
 from ..cluster.membership import MemberIdentity, Membership
-from ..transport.seeded_random import Chance
+from ..transport.seeded_random import SeededRandom
 from .virtual import Timeline, percentile
 
 TICK = 0.1  # s of a server's own clock between looks
@@ -34,7 +34,7 @@
         self.membership = Membership(
             MemberIdentity(self.name, self.address, self.zone, life),
             self.net.seeds,
-            Chance(7919 * self.number + life),
+            SeededRandom(7919 * self.number + life),
             self.clock(),
         )
 
@@ -78,9 +78,9 @@
         """loss: share of messages that never come. slow: share of the servers that answer late, as if short
         of CPU."""
         super().__init__()
-        self.chance = Chance(seed)
+        self.random_source = SeededRandom(seed)
         for _ in range(8):
-            self.chance.share()
+            self.random_source.random()
         self.loss, self.bytes_too = loss, bytes_too
         self.cut = lambda one, other: False  # whether a message from one can't reach the other
         self.sent = self.size = 0
@@ -90,7 +90,7 @@
         self.by_address = {node.address: node for node in self.nodes}
         self.slow = set(range(int(slow * count + 0.5)))
         for node in self.nodes:
-            self.at(TICK * self.chance.share(), node.tick, node.life)
+            self.at(TICK * self.random_source.random(), node.tick, node.life)
 
     def send(self, node, address, kind, fields):
         self.sent += 1
@@ -100,12 +100,14 @@
             (message,) = codec.Decoder("lab").feed(data)
             kind, fields = message.kind, message.fields
         other = self.by_address.get(address)
-        if other is None or self.chance.share() < self.loss or self.cut(node, other):
+        if other is None or self.random_source.random() < self.loss or self.cut(node, other):
             return
-        delay = DELAY - DELAY * math.log(1 - self.chance.share())
+        delay = DELAY - DELAY * math.log(1 - self.random_source.random())
         for one in (node, other):
             if one.number in self.slow:
-                delay += 0.5 * self.chance.share()  # some hundred ms late, as a process that waits for a core
+                delay += (
+                    0.5 * self.random_source.random()
+                )  # some hundred ms late, as a process that waits for a core
         generation = node.membership.local.generation
         self.at(delay, self.arrive, other, node.name, generation, kind, fields, node.address)
 
--- a/valeturn/lab/floods.py
+++ b/valeturn/lab/floods.py
@@ -27,7 +27,7 @@
 from collections import Counter
 from typing import NamedTuple
 
-from ..transport.seeded_random import Chance
+from ..transport.seeded_random import SeededRandom
 from .addresses import reserve_address
 from .checker import CUT, DELIVERED, NOTICED, SILENT, TURNED_BACK
 from .executor import Executor, Plan
@@ -76,12 +76,12 @@
 class Ledger:
     """Shared by all; counts the calls that may have had their effect."""
 
-    def __init__(self, chance):
-        self.chance, self.trouble, self.calls = chance, 0.0, Counter()
+    def __init__(self, random_source):
+        self.random_source, self.trouble, self.calls = random_source, 0.0, Counter()
 
     async def serve(self, reader, writer):
-        if self.chance.share() < self.trouble:
-            what = self.chance.share()
+        if self.random_source.random() < self.trouble:
+            what = self.random_source.random()
             if what < 0.3:
                 return  # closed before anything is read
             await reader.readuntil(b"\r\n\r\n")
@@ -94,7 +94,7 @@
 
     def answer(self, first, body):
         self.calls[body] += 1
-        if self.chance.share() < self.trouble / 3:
+        if self.random_source.random() < self.trouble / 3:
             return "500 Failed", b""
         return "200 OK", b"[" + body + b"]"
 
@@ -118,16 +118,19 @@
     def __init__(self, world, number):
         self.world, self.number, self.life, self.process = world, number, 0, None
         # What happens to it is the seed's alone; how long runs take also hangs on which comes first.
-        self.chance, self.work = Chance(world.seed * 7919 + number), Chance(world.seed * 104729 + number)
+        self.random_source, self.work = (
+            SeededRandom(world.seed * 7919 + number),
+            SeededRandom(world.seed * 104729 + number),
+        )
         self.executors, self.killed, self.paused, self.crashed = {}, {}, [], []
         self.folder = world.folder / f"server-{number}"
         self.folder.mkdir(parents=True)
         self.config = self.folder / "config.json"
 
     def plan(self, workload, body):
-        share = self.work.share()
+        share = self.work.random()
         return Plan(
-            0.002 + 0.04 * share * share, workload == "file", self.work.share() < 0.02, workload != "quote"
+            0.002 + 0.04 * share * share, workload == "file", self.work.random() < 0.02, workload != "quote"
         )
 
     async def set_up(self):
@@ -151,7 +154,7 @@
         self.config.write_text(json.dumps(raw))
 
     def chance_of(self, choices):
-        return choices[int(self.chance.share() * len(choices))]
+        return choices[int(self.random_source.random() * len(choices))]
 
     def begin(self):
         """Starts the next life; its process may still wait for the address of the one before."""
@@ -194,7 +197,7 @@
         process, life = self.process, self.life
         process.send_signal(signal.SIGTERM)
         if overlap:
-            await asyncio.sleep(0.2 * self.chance.share())
+            await asyncio.sleep(0.2 * self.random_source.random())
             with contextlib.suppress(ProcessLookupError):
                 process.send_signal(signal.SIGHUP)
         if twice:
@@ -206,7 +209,7 @@
             process.wait()
 
     async def restart(self):
-        await self.leave(self.chance.share() < 0.5, self.chance.share() < 0.3)
+        await self.leave(self.random_source.random() < 0.5, self.random_source.random() < 0.3)
         self.begin()
         await self.serving()
 
@@ -224,7 +227,7 @@
     async def pause(self):
         began = time.monotonic()
         self.process.send_signal(signal.SIGSTOP)
-        await asyncio.sleep(0.05 + 0.25 * self.chance.share())
+        await asyncio.sleep(0.05 + 0.25 * self.random_source.random())
         self.process.send_signal(signal.SIGCONT)
         self.paused.append((began, time.monotonic()))
 
@@ -236,7 +239,7 @@
     async def cut(self):
         link = self.executors[self.life].link
         if link is not None and not link.is_closing():
-            if self.chance.share() < 0.5:
+            if self.random_source.random() < 0.5:
                 link.write(b'{"t":"EXIT","no":')
             link.transport.abort()
 
@@ -265,14 +268,14 @@
         await reader.read()
 
     async def garbage(self, reader, writer):
-        writer.write(bytes(int(256 * self.chance.share()) for _ in range(200)))
+        writer.write(bytes(int(256 * self.random_source.random()) for _ in range(200)))
         await reader.read()
 
     async def reset(self, reader, writer):
         writer.write(submission(1, "quote", self.world.new_call(), b"reset", WAIT))
         linger = struct.pack("ii", 1, 0)
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
-        await asyncio.sleep(0.03 * self.chance.share())
+        await asyncio.sleep(0.03 * self.random_source.random())
 
     async def rest(self, reader, writer):
         writer.write(frame(1, 1, b"\0"))
@@ -286,7 +289,7 @@
         """It reads to the end: there is one answer, whatever it says."""
         life, call, began = self.life, self.world.new_call(), time.monotonic()
         writer.write(submission(1, "quote", call, b"half closed", WAIT))
-        await asyncio.sleep(0.02 * self.chance.share())
+        await asyncio.sleep(0.02 * self.random_source.random())
         writer.write_eof()
         outcome, data = CUT, await reader.read()
         while len(data) >= 9:
@@ -303,7 +306,7 @@
 
     async def storm(self, faults):
         for _ in range(faults):
-            await asyncio.sleep(0.1 + 0.3 * self.chance.share())
+            await asyncio.sleep(0.1 + 0.3 * self.random_source.random())
             if self.process.poll() is not None:
                 self.crashed.append((f"code {self.process.returncode}", self.number, self.life))
                 return
@@ -318,9 +321,9 @@
     def __init__(self, folder, seed, servers, serve=SERVE, kinds=Server.FAULTS):
         self.folder, self.seed, self.serve, self.kinds = folder, seed, serve, kinds
         self.env = {name: value for name, value in os.environ.items() if not name.startswith("EDGE_")}
-        self.chance, self.calls, self.over = Chance(seed), 0, False
+        self.random_source, self.calls, self.over = SeededRandom(seed), 0, False
         self.sent, self.doubled, self.connections = [], [], []
-        self.ledger, self.naming = Ledger(self.chance), Naming()
+        self.ledger, self.naming = Ledger(self.random_source), Naming()
         self.grace = GRACE
         self.servers = [Server(self, number) for number in range(servers)]
 
@@ -349,8 +352,8 @@
 
     async def troubles(self):
         while True:
-            self.ledger.trouble = 0.5 if self.chance.share() < 0.3 else 0.0
-            self.naming.silent = self.chance.share() < 0.3
+            self.ledger.trouble = 0.5 if self.random_source.random() < 0.3 else 0.0
+            self.naming.silent = self.random_source.random() < 0.3
             await asyncio.sleep(0.3)
 
     # ---- callers
@@ -362,7 +365,7 @@
         async def one_after_another(lane):
             while not self.over:
                 await self.once(server, held, f"{server.number}-{number}-{lane}-{next(names)}")
-                await asyncio.sleep(0.02 * self.chance.share())
+                await asyncio.sleep(0.02 * self.random_source.random())
 
         await asyncio.gather(*(one_after_another(lane) for lane in range(AT_ONCE)))
 
@@ -386,14 +389,14 @@
         if connection is None:
             await asyncio.sleep(0.02)
             return
-        share = self.chance.share()
+        share = self.random_source.random()
         workload = "book" if share < 0.4 else "file" if share < 0.7 else "quote"
-        times = 2 if workload == "book" and self.chance.share() < 0.3 else 1
+        times = 2 if workload == "book" and self.random_source.random() < 0.3 else 1
         await asyncio.gather(*(self.ask(server, connection, life, key, workload, n) for n in range(times)))
 
     async def ask(self, server, connection, life, key, workload, again):
         """A repeat comes with its first, while that runs, or as it ends."""
-        await asyncio.sleep(0.06 * self.chance.share() * again)
+        await asyncio.sleep(0.06 * self.random_source.random() * again)
         call, sent = self.new_call(), time.monotonic()
         mark = key if workload == "book" else None
         got = await connection.ask(workload, call, key.encode(), WAIT, mark, 1)
--- a/valeturn/lab/gateways.py
+++ b/valeturn/lab/gateways.py
@@ -107,7 +107,7 @@
 
 class Gateway:
     def __init__(self, address, number, world):
-        """world: .life (the server's, counted), .look_whether_dead(life), .chance (share()), .tries,
+        """world: .life (the server's, counted), .look_whether_dead(life), .random_source (random()), .tries,
         .doubled."""
         self.address, self.number, self.world, self.connection = address, number, world, None
         self.lock = asyncio.Lock()
@@ -152,19 +152,19 @@
         for _ in range(most):
             one = await self.once(key, workload, wait)
             if one is None or one.outcome == TURNED_BACK:
-                await asyncio.sleep(0.02 + 0.05 * self.world.chance.share())
+                await asyncio.sleep(0.02 + 0.05 * self.world.random_source.random())
                 continue
             if workload == "file":
                 return
             if one.outcome == DELIVERED:
                 seen += 1
-                if seen > 2 or self.world.chance.share() < 0.6:
+                if seen > 2 or self.world.random_source.random() < 0.6:
                     return
             elif one.outcome == WRITTEN_OFF:
                 seen += 1
                 if seen > 3:
                     return
-            await asyncio.sleep(0.1 * self.world.chance.share())
+            await asyncio.sleep(0.1 * self.world.random_source.random())
 
     def close(self):
         if self.connection is not None:
--- a/valeturn/lab/levels.py
+++ b/valeturn/lab/levels.py
@@ -8,17 +8,24 @@
 import os
 import pathlib
 
-from ..admission import interface as it
+from ..admission import interface
 from ..degradation.conditions import ConditionType
 from ..degradation.controller import DegradationLevel
 from .emulator import Mix, Scene, World
 
 WORKLOADS = (
-    it.Workload(
-        "estimate", it.Effect.IDEMPOTENT, 1.0, 3.0, 1.0, late_share=0.2, calls=True, poorer_share=0.7
+    interface.Workload(
+        "estimate",
+        interface.Effect.IDEMPOTENT,
+        1.0,
+        3.0,
+        1.0,
+        late_value_share=0.2,
+        makes_call=True,
+        degraded_value_share=0.7,
     ),
-    it.Workload("parcel-lookup", it.Effect.IDEMPOTENT, 0.5, 2.0, 0.3, late_share=0.2),
-    it.Workload("file-appraisal", it.Effect.UNREPEATABLE, 2.0, 5.0, 3.0, calls=True),
+    interface.Workload("parcel-lookup", interface.Effect.IDEMPOTENT, 0.5, 2.0, 0.3, late_value_share=0.2),
+    interface.Workload("file-appraisal", interface.Effect.UNREPEATABLE, 2.0, 5.0, 3.0, makes_call=True),
 )
 MIX = (Mix(0.5, 0.15, True), Mix(0.35, 0.03, False), Mix(0.15, 0.25, True))
 CORES = 2
@@ -32,7 +39,7 @@
         "calls.latency > 3 x usual for 2 s or calls.failing > 20 % for 1 s",
         "calls.latency < 1.5 x usual for 3 s and calls.failing < 5 % for 3 s",
         5.0,
-        it.Reduced(without_call=frozenset((0,))),
+        interface.ServiceReduction(bypass_call=frozenset((0,))),
     ),
     (
         "bare",
@@ -40,30 +47,30 @@
         "turned_back > 50 % for 3 s and cores.busy > 95 % for 3 s",
         "turned_back < 20 % for 5 s",
         8.0,
-        it.Reduced(without_call=frozenset((0,)), least_rank=0.2),
+        interface.ServiceReduction(bypass_call=frozenset((0,)), min_rank=0.2),
     ),
 )
 
 
 def settings(servers):
-    return it.Settings(
+    return interface.Settings(
         workloads=WORKLOADS,
-        tenants=(it.Tenant("a", 1e6), it.Tenant("b", 1e6)),
+        tenants=(interface.Tenant("a", 1e6), interface.Tenant("b", 1e6)),
         servers=servers,
         cores=CORES,
         memory=80_000.0,
         run_memory_factor=4.0,
-        halting=it.Halting.DROP,
+        interruption=interface.Interruption.CANCEL,
         tick=0.005,
         answer_slack=0.1,
         drain_grace=1.0,
-        crowd_factor=8.0,
-        cold_speed=0.3,
-        cold_time=10.0,
-        calls_share=4.0,
-        calls_window=5.0,
+        max_concurrency_per_core=8.0,
+        cold_start_speed=0.3,
+        warm_up_time=10.0,
+        call_quota=4.0,
+        call_quota_window=5.0,
         call_linger=0.1,
-        longest_advice=1.0,
+        max_retry_after=1.0,
     )
 
 
--- a/valeturn/lab/levelsreal.py
+++ b/valeturn/lab/levelsreal.py
@@ -16,7 +16,7 @@
 import sys
 import tempfile
 
-from ..transport.seeded_random import Chance
+from ..transport.seeded_random import SeededRandom
 from .addresses import reserve_address
 from .checker import DELIVERED, TURNED_BACK
 from .emulator import BACK_OFF, TRIES
@@ -40,9 +40,9 @@
             f"enter = {enter}",
             f"leave = {leave}",
             f"stay = {stay:g} s",
-            f"without_call = {', '.join(names[index] for index in sorted(gives.without_call))}",
+            f"without_call = {', '.join(names[index] for index in sorted(gives.bypass_call))}",
         ]
-        out += [f"least_rank = {100 * gives.least_rank:g} %"] if gives.least_rank else []
+        out += [f"least_rank = {100 * gives.min_rank:g} %"] if gives.min_rank else []
     return "\n".join(out) + "\n"
 
 
@@ -64,10 +64,10 @@
                 {
                     "name": w.name,
                     "semantics": effects[w.effect.value],
-                    "goal_time_ms": 1000 * w.latency_goal,
-                    "give_up_ms": 1000 * w.cut_off,
-                    "worth": w.revenue,
-                    "late_share": w.late_share,
+                    "goal_time_ms": 1000 * w.latency_objective,
+                    "give_up_ms": 1000 * w.timeout,
+                    "worth": w.value,
+                    "late_share": w.late_value_share,
                 }
                 for w in s.workloads
             ],
@@ -76,19 +76,19 @@
                 "cold_ms": 0,
                 "drain_grace_ms": 500,
                 "grace_to_answer_ms": 1000 * s.answer_slack,
-                "overload_factor": s.crowd_factor,
+                "overload_factor": s.max_concurrency_per_core,
             },
-            "allowed": {"retry_after": True, "max_retry_after_ms": 1000 * s.longest_advice},
+            "allowed": {"retry_after": True, "max_retry_after_ms": 1000 * s.max_retry_after},
             "domain": {
                 "cpus": s.cores,
                 "heap_kb": s.memory,
                 "run_mem_factor": s.run_memory_factor,
                 "halt": "drop",
                 "passes_deadline": True,
-                "calls_by_class": [w.calls for w in s.workloads],
-                "degraded_worth": [w.poorer_share for w in s.workloads],
-                "calls_out": s.calls_share,
-                "calls_over_ms": 1000 * s.calls_window,
+                "calls_by_class": [w.makes_call for w in s.workloads],
+                "degraded_worth": [w.degraded_value_share for w in s.workloads],
+                "calls_out": s.call_quota,
+                "calls_over_ms": 1000 * s.call_quota_window,
                 "linger_ms": 1000 * s.call_linger,
                 "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"],
             },
@@ -131,7 +131,7 @@
         self.folder, self.shape, self.seconds, self.seed = folder, shape, seconds, seed
         self.servers, self.with_levels = servers, with_levels
         self.scene = scene(shape, servers, seconds, with_levels)
-        self.demand, self.chance = Chance(seed), Chance(seed + 1)
+        self.demand, self.random_source = SeededRandom(seed), SeededRandom(seed + 1)
         self.tries, self.doubled, self.calls, self.out = [], [], 0, 0
         self.processes, self.parties, self.works = [], [], {}
         self.worth = self.all_worth = 0.0
@@ -147,7 +147,7 @@
     # ---- its parties
 
     def plan(self, workload, body):
-        calls = any(w.name == workload and w.calls for w in WORKLOADS)
+        calls = any(w.name == workload and w.makes_call for w in WORKLOADS)
         return Plan(self.works[body], calls)
 
     async def ledger(self, reader, writer):
@@ -159,11 +159,11 @@
             now, s = loop.time() - began, self.scene
             self.out += 1
             try:
-                if self.chance.share() < s.failing(now):
+                if self.random_source.random() < s.failing(now):
                     writer.write(b"HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n")
                     continue
                 mean = s.call_time * s.slow(now) / (1 - min(0.97, self.out / s.call_room))
-                await asyncio.sleep(mean * (0.5 - 0.5 * math.log(1 - self.chance.share())))
+                await asyncio.sleep(mean * (0.5 - 0.5 * math.log(1 - self.random_source.random())))
             finally:
                 self.out -= 1
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
@@ -218,7 +218,7 @@
             task = loop.create_task(self.ask())
             tasks.add(task)
             task.add_done_callback(tasks.discard)
-            at -= math.log(1 - self.demand.share()) / max(1e-3, self.scene.load(at))
+            at -= math.log(1 - self.demand.random()) / max(1e-3, self.scene.load(at))
         await asyncio.wait_for(asyncio.gather(*tasks), 30)
         for process in self.processes:
             process.send_signal(signal.SIGTERM)
@@ -232,35 +232,39 @@
 
     async def ask(self):
         """What one client wants, through at most three tries."""
-        loop, chance = asyncio.get_running_loop(), self.demand
-        draw, workload = chance.share(), 0
+        loop, random_source = asyncio.get_running_loop(), self.demand
+        draw, workload = random_source.random(), 0
         for workload, mix in enumerate(MIX):
             draw -= mix.share
             if draw < 0:
                 break
         w, mix = WORKLOADS[workload], MIX[workload]
-        work = mix.work * (0.5 - 0.5 * math.log(1 - chance.share()))
-        hint = work * math.exp(0.3 * (chance.share() - 0.5))
-        servers = [int(chance.share() * self.servers) for _ in range(TRIES)]
+        work = mix.work * (0.5 - 0.5 * math.log(1 - random_source.random()))
+        hint = work * math.exp(0.3 * (random_source.random() - 0.5))
+        servers = [int(random_source.random() * self.servers) for _ in range(TRIES)]
         key = f"{self.seed}-{len(self.works)}"
         self.works[key.encode()] = work
-        began, self.all_worth = loop.time(), self.all_worth + w.revenue
+        began, self.all_worth = loop.time(), self.all_worth + w.value
         for number in servers:
-            left = began + w.cut_off - loop.time()
+            left = began + w.timeout - loop.time()
             if left <= 0.01:
                 return
-            gateway = self.gateways[int(self.chance.share() * GATEWAYS)][number]
+            gateway = self.gateways[int(self.random_source.random() * GATEWAYS)][number]
             one = await gateway.once(key, w.name, left, hint)
             if one is not None and one.outcome == DELIVERED:
-                late = loop.time() > began + w.latency_goal
-                slim = w.calls and one.result.endswith(b" ")
+                late = loop.time() > began + w.latency_objective
+                slim = w.makes_call and one.result.endswith(b" ")
                 self.slim += slim
-                self.worth += w.revenue * (w.late_share if late else 1.0) * (w.poorer_share if slim else 1.0)
+                self.worth += (
+                    w.value
+                    * (w.late_value_share if late else 1.0)
+                    * (w.degraded_value_share if slim else 1.0)
+                )
                 return
             if one is not None and one.outcome != TURNED_BACK:
                 self.lost += one.outcome not in ("written off",)
                 return
-            await asyncio.sleep(BACK_OFF * (0.75 + 0.5 * self.chance.share()))
+            await asyncio.sleep(BACK_OFF * (0.75 + 0.5 * self.random_source.random()))
 
     def line(self):
         return (
--- a/valeturn/lab/model_checker.py
+++ b/valeturn/lab/model_checker.py
@@ -24,7 +24,7 @@
 class Even:
     """No spread of waiting times: who stands first is the explorer's choice."""
 
-    def share(self):
+    def random(self):
         return 0.0
 
 
--- a/valeturn/lab/ownervirtual.py
+++ b/valeturn/lab/ownervirtual.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from ..cluster.raft import CLOCK_DRIFT, Committed, Persist, RaftNode, Send
-from ..transport.seeded_random import Chance
+from ..transport.seeded_random import SeededRandom
 from .virtual import Timeline, percentile
 
 LEASE = 1.0  # s
@@ -58,10 +58,12 @@
         self.disk, self.life, self.up, self.stopped, self.held = None, 1, True, False, []
 
     def start(self, voters=()):
-        chance = Chance(hash_of(self.name) + 31 * self.life + self.storm.seed)
-        self.owner = self.storm.make(self.name, self.life, LEASE, chance, self.clock(), self.disk, voters)
+        random_source = SeededRandom(hash_of(self.name) + 31 * self.life + self.storm.seed)
+        self.owner = self.storm.make(
+            self.name, self.life, LEASE, random_source, self.clock(), self.disk, voters
+        )
         self.starts = getattr(self, "starts", 0) + 1
-        self.storm.at(TICK * self.storm.chance.share(), self.tick, self.starts)
+        self.storm.at(TICK * self.storm.random_source.random(), self.tick, self.starts)
 
     def clock(self):
         return self.storm.now * self.rate + 1000.0
@@ -97,14 +99,14 @@
 class Storm(Timeline):
     def __init__(self, count, seed, loss=0.05, doubled=0.02, late=0.02, owner=RaftNode):
         super().__init__()
-        self.seed, self.chance = seed, Chance(seed)
+        self.seed, self.random_source = seed, SeededRandom(seed)
         for _ in range(8):
-            self.chance.share()
+            self.random_source.random()
         self.loss, self.doubled, self.late, self.make = loss, doubled, late, owner
         self.witness, self.cuts, self.faults, self.granted = Witness(), set(), 0, 0
         self.voters = {f"n{n}": Voter(self, n) for n in range(count)}
         for voter in self.voters.values():
-            voter.rate = 1 + CLOCK_DRIFT * 0.9 * (self.chance.share() - 0.5)
+            voter.rate = 1 + CLOCK_DRIFT * 0.9 * (self.random_source.random() - 0.5)
         founding = tuple((name, 1) for name in self.voters)
         for voter in self.voters.values():
             voter.start(founding)
@@ -119,12 +121,12 @@
         self.witness.look(self.now, acting)
 
     def send(self, sender, effect):
-        if (sender, effect.to) in self.cuts or self.chance.share() < self.loss:
+        if (sender, effect.to) in self.cuts or self.random_source.random() < self.loss:
             return
-        for _ in range(1 + (self.chance.share() < self.doubled)):
-            delay = DELAY * (1 + 4 * self.chance.share())
-            if self.chance.share() < self.late:
-                delay += 3 * LEASE * self.chance.share()
+        for _ in range(1 + (self.random_source.random() < self.doubled)):
+            delay = DELAY * (1 + 4 * self.random_source.random())
+            if self.random_source.random() < self.late:
+                delay += 3 * LEASE * self.random_source.random()
             self.at(delay, self.arrive, effect.to, sender, effect.kind, effect.fields)
 
     def arrive(self, to, sender, kind, fields):
@@ -142,7 +144,7 @@
     def fault(self):
         """One of them, by chance; each ends by itself."""
         self.faults += 1
-        names, share = sorted(self.voters), self.chance.share
+        names, share = sorted(self.voters), self.random_source.random
         voter = self.voters[names[int(share() * len(names))]]
         kind = int(share() * 7)
         lasts = LEASE * (0.3 + 4 * share())
@@ -187,7 +189,7 @@
             voter.stopped, held = False, voter.held
             voter.held = []
             # it wakes in the middle of what it did: effects first, then messages
-            if self.chance.share() < 0.5:
+            if self.random_source.random() < 0.5:
                 self.look()
             for one in held:
                 voter.hear(*one)
@@ -221,7 +223,7 @@
     storm.run(5 * LEASE)
     for _ in range(faults):
         storm.fault()
-        storm.run(storm.now + LEASE * (0.2 + 1.5 * storm.chance.share()))
+        storm.run(storm.now + LEASE * (0.2 + 1.5 * storm.random_source.random()))
     storm.cuts = set()
     storm.run(storm.now + 30 * LEASE)
     return storm
--- a/valeturn/lab/random_streams.py
+++ b/valeturn/lab/random_streams.py
@@ -4,14 +4,14 @@
 
 from typing import Final
 
-from ..transport.seeded_random import Chance
+from ..transport.seeded_random import SeededRandom
 
 WARM_UP_DRAWS: Final = 8  # the first numbers of near seeds are alike
 
 
-def warmed_up(seed: int) -> Chance:
+def warmed_up(seed: int) -> SeededRandom:
     """Return the stream of a seed, past the draws in which near seeds are alike."""
-    chance = Chance(seed)
+    random_source = SeededRandom(seed)
     for _ in range(WARM_UP_DRAWS):
-        chance.share()
-    return chance
+        random_source.random()
+    return random_source
--- a/valeturn/lab/restarts.py
+++ b/valeturn/lab/restarts.py
@@ -18,7 +18,7 @@
 import tempfile
 import time
 
-from ..transport.seeded_random import Chance
+from ..transport.seeded_random import SeededRandom
 from .addresses import reserve_address
 from .checker import Verdict, check
 from .executor import Executor, Plan
@@ -91,16 +91,19 @@
         """store: False serves without one, which must show effects twice: the checker's own check."""
         self.folder, self.number, self.kills, self.store = folder, number, kills, store
         self.reload_share = reload_share
-        self.chance = Chance(seed * 1000003 + number)
+        self.random_source = SeededRandom(seed * 1000003 + number)
         self.life, self.tries, self.doubled, self.process = 0, [], [], None
         self.deaths = {}  # life -> when its process was seen to have been killed
         self.calls = self.made = self.chosen = self.died_early = 0
         self.executor = Executor(self.plan, kept=64 if number % 2 == 0 else 0)
 
     def plan(self, workload, body):
-        share = self.chance.share()
+        share = self.random_source.random()
         return Plan(
-            0.002 + 0.03 * share * share, workload == "file", self.chance.share() < 0.02, workload != "quote"
+            0.002 + 0.03 * share * share,
+            workload == "file",
+            self.random_source.random() < 0.02,
+            workload != "quote",
         )
 
     def new_call(self):
@@ -165,12 +168,12 @@
             return True
 
     def next_point(self):
-        if self.chance.share() >= 0.4:
+        if self.random_source.random() >= 0.4:
             return None
         self.chosen += 1
-        what = POINTS[int(self.chance.share() * len(POINTS))]
+        what = POINTS[int(self.random_source.random() * len(POINTS))]
         most = {"write": 40, "sync": 40, "synced": 40}.get(what, 4)
-        return f"{what}:{1 + int(most * self.chance.share())}:{self.chance.share():.3f}"
+        return f"{what}:{1 + int(most * self.random_source.random())}:{self.random_source.random():.3f}"
 
     async def script(self, gateway, number):
         """Sends one key after another; one in ten goes out on all gateways at once."""
@@ -178,9 +181,9 @@
         while not self.over:
             count += 1
             key = f"parcel-{self.number}-{gateway.number}-{number}-{count}"
-            share = self.chance.share()
+            share = self.random_source.random()
             workload = "book" if share < 0.7 else "file" if share < 0.85 else "quote"
-            if workload == "book" and self.chance.share() < 0.1:
+            if workload == "book" and self.random_source.random() < 0.1:
                 await asyncio.gather(*(one.submit(key, workload) for one in self.gateways))
             else:
                 await gateway.submit(key, workload)
@@ -197,8 +200,8 @@
         ]
         for _ in range(self.kills):
             await self.wait_until_served()
-            wait = LONGEST_LIFE * self.chance.share()
-            if self.chance.share() < self.reload_share and self.process.returncode is None:
+            wait = LONGEST_LIFE * self.random_source.random()
+            if self.random_source.random() < self.reload_share and self.process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):  # it has just ended itself
                     self.process.send_signal(signal.SIGHUP)
             try:
--- a/valeturn/lab/shares.py
+++ b/valeturn/lab/shares.py
@@ -12,7 +12,7 @@
 
 from ..cluster.quota import GrantId, QuotaAllocator, QuotaClient, QuotaGrant, QuotaRequest
 from ..cluster.raft import CLOCK_DRIFT
-from ..transport.seeded_random import Chance
+from ..transport.seeded_random import SeededRandom
 from .model_checker import search
 from .virtual import Timeline
 
@@ -32,38 +32,42 @@
 
     def __init__(self, seed, servers, spare=1, holder=QuotaClient, splitter=QuotaAllocator):
         super().__init__()
-        self.chance, self.servers, self.largest = Chance(seed * 7919 + 1), servers, servers + spare
+        self.random_source, self.servers, self.largest = (
+            SeededRandom(seed * 7919 + 1),
+            servers,
+            servers + spare,
+        )
         for _ in range(8):
-            self.chance.share()
+            self.random_source.random()
         self.make_holder, self.make_splitter = holder, splitter
-        self.rates = [1 + 0.9 * CLOCK_DRIFT * (self.chance.share() - 0.5) for _ in range(servers)]
-        self.needs = [20 * self.chance.share() for _ in range(servers)]
+        self.rates = [1 + 0.9 * CLOCK_DRIFT * (self.random_source.random() - 0.5) for _ in range(servers)]
+        self.needs = [20 * self.random_source.random() for _ in range(servers)]
         self.stopped, self.fence, self.lent, self.most = [0.0] * servers, 0, 0, 0.0
         self.holders = [holder(self.clock(n), CAP / self.largest, LASTS) for n in range(servers)]
         self.new_owner()
         for number in range(servers):
-            self.at(ROUND * self.chance.share(), self.ask, number)
+            self.at(ROUND * self.random_source.random(), self.ask, number)
         self.at(1.0, self.trouble)
 
     def clock(self, number):
         return self.now * self.rates[number] + 1000.0 * number
 
     def new_owner(self):
-        self.fence, self.owner = self.fence + 1, int(self.chance.share() * self.servers)
+        self.fence, self.owner = self.fence + 1, int(self.random_source.random() * self.servers)
         self.splitter = self.make_splitter(self.clock(self.owner), self.fence, CAP, self.largest, LASTS)
 
     def send(self, action, *args):
-        share = self.chance.share
+        share = self.random_source.random
         if share() < 0.1:
             return
         for _ in range(1 + (share() < 0.1)):
             self.at(0.01 + 0.1 * share() + (1.5 * LASTS * share() if share() < 0.1 else 0.0), action, *args)
 
     def ask(self, number):
-        self.at(ROUND * (0.8 + 0.4 * self.chance.share()), self.ask, number)
+        self.at(ROUND * (0.8 + 0.4 * self.random_source.random()), self.ask, number)
         if self.now >= self.stopped[number]:
-            if self.chance.share() < 0.05:
-                self.needs[number] = 50 * self.chance.share() ** 3
+            if self.random_source.random() < 0.05:
+                self.needs[number] = 50 * self.random_source.random() ** 3
             holder = self.holders[number]
             self.send(self.asked, number, holder, holder.request(self.clock(number), self.needs[number]))
 
@@ -86,7 +90,7 @@
             self.lent += grant.amount > holder.guaranteed
 
     def trouble(self):
-        share = self.chance.share
+        share = self.random_source.random
         self.at(1 + 4 * share(), self.trouble)
         number, kind = int(share() * self.servers), share()
         if kind < 0.25:
--- a/valeturn/lab/soak_schedule.py
+++ b/valeturn/lab/soak_schedule.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import Final, NamedTuple, TypeVar
 
-from ..transport.seeded_random import Chance
+from ..transport.seeded_random import SeededRandom
 from .random_streams import warmed_up
 
 LONGEST_SERVICE: Final = 0.6  # s that a life serves before its ending begins
@@ -98,26 +98,28 @@
 
 def draw_schedule(seed: int, lives: int) -> SoakSchedule:
     """Return the schedule of a seed."""
-    chance = warmed_up(seed)
-    operator_file = _one_of(chance, list(OperatorFile))
-    return SoakSchedule(seed, operator_file, tuple(_draw_life(chance, operator_file) for _ in range(lives)))
+    random_source = warmed_up(seed)
+    operator_file = _one_of(random_source, list(OperatorFile))
+    return SoakSchedule(
+        seed, operator_file, tuple(_draw_life(random_source, operator_file) for _ in range(lives))
+    )
 
 
-def _one_of(chance: Chance, choices: Sequence[DrawnT]) -> DrawnT:
-    return choices[int(chance.share() * len(choices))]
+def _one_of(random_source: SeededRandom, choices: Sequence[DrawnT]) -> DrawnT:
+    return choices[int(random_source.random() * len(choices))]
 
 
-def _draw_life(chance: Chance, operator_file: OperatorFile) -> ScheduledLife:
+def _draw_life(random_source: SeededRandom, operator_file: OperatorFile) -> ScheduledLife:
     """Draw every field, whatever the ending."""
-    ending = _one_of(chance, list(Ending))
+    ending = _one_of(random_source, list(Ending))
     if operator_file is OperatorFile.NONE and ending is Ending.KILL_DURING_HELD_RELOAD:
         ending = Ending.KILL_DURING_RELOAD
-    series = _one_of(chance, SERIES_WITH_NOTICE if ending in ENDINGS_BY_NOTICE else SERIES)
-    signals = tuple(ScheduledSignal(one, LONGEST_SIGNAL_PAUSE * chance.share()) for one in series)
+    series = _one_of(random_source, SERIES_WITH_NOTICE if ending in ENDINGS_BY_NOTICE else SERIES)
+    signals = tuple(ScheduledSignal(one, LONGEST_SIGNAL_PAUSE * random_source.random()) for one in series)
     return ScheduledLife(
-        crowd=CROWD if chance.share() < CROWD_SHARE else 0,
-        service=LONGEST_SERVICE * chance.share(),
+        crowd=CROWD if random_source.random() < CROWD_SHARE else 0,
+        service=LONGEST_SERVICE * random_source.random(),
         signals=signals,
         ending=ending,
-        kill_delay=LONGEST_KILL_DELAY * chance.share(),
+        kill_delay=LONGEST_KILL_DELAY * random_source.random(),
     )
--- a/valeturn/lab/storebench.py
+++ b/valeturn/lab/storebench.py
@@ -27,7 +27,7 @@
 from ..result_store.log_jobs import SnapshotJob
 from ..result_store.store import ResultStore
 from ..result_store.timing_wheel import TimingWheel
-from ..transport.worker_thread import Helper
+from ..transport.worker_thread import WorkerThread
 
 AT_ONCE = 100  # submissions under way
 RESULT = bytes(range(256))
@@ -45,7 +45,7 @@
     derived = limits.derive_limits(2 * keys * 600 + 100_000_000, max(8_000_000, 150 * keys), 4_000_000)
     environment = StoreEnvironment(
         files,
-        helper or Helper(),
+        helper or WorkerThread(),
         lambda: window_clock.read_clocks(boot),
         lambda *_: None,
         lambda *_: None,
@@ -129,7 +129,7 @@
 import sys, time
 sys.path.insert(0, {root!r})
 from valeturn.lab import storebench
-from valeturn.transport.worker_thread import Inline
+from valeturn.transport.worker_thread import InlineWorker
 before, began = storebench.resident(), time.perf_counter()
 {what}
 print(time.perf_counter() - began, storebench.resident() - before)
@@ -255,7 +255,7 @@
     # Starts: from the log alone, from a snapshot, and what sqlite3 needs to answer its first question.
     kept.close(10.0)
     (ours / "snapshot").unlink(missing_ok=True)
-    open_it = f"kept = storebench.open_kept({str(ours)!r}, {keys}, Inline())"
+    open_it = f"kept = storebench.open_kept({str(ours)!r}, {keys}, InlineWorker())"
     check = f"assert kept.look_up(kept.key_digest('book', storebench.mark({keys})), 0.0).outcome == 'answer'"
     took, memory = child(f"{open_it}\n{check}")
     print(
--- a/valeturn/lab/turns.py
+++ b/valeturn/lab/turns.py
@@ -13,7 +13,7 @@
 from ..maintenance.drain_schedule import DrainSchedule, MaintenanceLimits
 from ..maintenance.records import MaintenanceRecord, RecordState, RecordUpdated, decode_record
 from ..maintenance.server_view import ServerView
-from ..transport.seeded_random import Chance
+from ..transport.seeded_random import SeededRandom
 from .virtual import percentile
 
 STEP = 0.5  # s
@@ -77,15 +77,19 @@
 
     def __init__(self, count, load, seed, troubles=0.0):
         """troubles: share of them that die, unasked, a minute after the beginning."""
-        self.chance, self.machines, self.now = Chance(seed), [Machine(n) for n in range(count)], 0.0
+        self.random_source, self.machines, self.now = (
+            SeededRandom(seed),
+            [Machine(n) for n in range(count)],
+            0.0,
+        )
         for _ in range(8):
-            self.chance.share()
+            self.random_source.random()
         self.count, self.share_load, self.troubles = count, load, troubles
         self.served, self.asked, self.by_second = 0.0, 0.0, []
         self.most_out = 0
 
     def load(self):
-        wave = 1 + 0.05 * math.sin(self.now / 40.0) + 0.02 * (self.chance.share() - 0.5)
+        wave = 1 + 0.05 * math.sin(self.now / 40.0) + 0.02 * (self.random_source.random() - 0.5)
         return self.count * self.share_load * wave
 
     def step(self):
@@ -93,7 +97,7 @@
             machine.step(self.now)
         if self.now == 60.0:
             for machine in self.machines:
-                if self.chance.share() < self.troubles:
+                if self.random_source.random() < self.troubles:
                     machine.lose(self.now)
         room, load = sum(machine.capacity(self.now) for machine in self.machines), self.load()
         self.busy = min(1.0, load / max(1e-9, room))
--- a/valeturn/protocol/executor.py
+++ b/valeturn/protocol/executor.py
@@ -16,48 +16,48 @@
 COMMANDS = frozenset(("JOIN", "EXEC", "KILL", "RETURN", "BYPASS", "METER", "DIAG"))
 
 
-class End(Enum):
+class RunResult(Enum):
     DONE = "success"
     FAILED = "failure"
     STOPPED = "interrupted"
     NOTHING = "nothing"
 
 
-class Welcomed(NamedTuple):
+class JoinAccepted(NamedTuple):
     cold: bool
     age: float  # of the executor, seconds
 
 
-class RunOver(NamedTuple):
+class RunEnded(NamedTuple):
     number: int
     call: str
-    end: End
-    took: float
+    end: RunResult
+    duration: float
     result: bytes
 
 
-class CallWanted(NamedTuple):
+class CallRequest(NamedTuple):
     number: int
     call: str
     body: bytes
 
 
-class Gauged(NamedTuple):
-    mark: str
+class GaugesReported(NamedTuple):
+    token: str
     values: tuple
 
 
-class Diagnosed(NamedTuple):
-    mark: str
-    good: bool
+class DiagnosisReported(NamedTuple):
+    token: str
+    healthy: bool
 
 
-class NotCarriedOut(NamedTuple):
+class CommandRejected(NamedTuple):
     command: str
     call: str | None
 
 
-class Remark(NamedTuple):
+class OtherNotice(NamedTuple):
     number: int | None
 
 
@@ -101,7 +101,7 @@
 def notice(line):
     try:
         message = json.loads(line)
-        read = NOTICES.get(message["t"], lambda m: Remark(_whole(m, "no") if "no" in m else None))
+        read = NOTICES.get(message["t"], lambda m: OtherNotice(_whole(m, "no") if "no" in m else None))
         return read(message)
     except (
         ValueError,
@@ -156,12 +156,14 @@
 
 
 NOTICES = {
-    "WELCOME": lambda m: Welcomed(m["status"] == "booting", _seconds(m)),
-    "EXIT": lambda m: RunOver(_whole(m, "no"), _words(m, "rid"), End(m["status"]), _seconds(m), _body(m)),
-    "CALLOUT": lambda m: CallWanted(_whole(m, "no"), _words(m, "rid"), _body(m)),
-    "METERS": lambda m: Gauged(_words(m, "mark"), _gauges(m)),
-    "DIAGNOSED": lambda m: Diagnosed(_words(m, "mark"), m["status"] == "success"),
-    "BAD": lambda m: NotCarriedOut(_command(m), None if m.get("rid") is None else _words(m, "rid")),
+    "WELCOME": lambda m: JoinAccepted(m["status"] == "booting", _seconds(m)),
+    "EXIT": lambda m: RunEnded(
+        _whole(m, "no"), _words(m, "rid"), RunResult(m["status"]), _seconds(m), _body(m)
+    ),
+    "CALLOUT": lambda m: CallRequest(_whole(m, "no"), _words(m, "rid"), _body(m)),
+    "METERS": lambda m: GaugesReported(_words(m, "mark"), _gauges(m)),
+    "DIAGNOSED": lambda m: DiagnosisReported(_words(m, "mark"), m["status"] == "success"),
+    "BAD": lambda m: CommandRejected(_command(m), None if m.get("rid") is None else _words(m, "rid")),
 }
 
 
@@ -195,7 +197,7 @@
     return _line("EXEC", call, route=_name(workload), b64=_text(body))
 
 
-def halt(call):
+def interrupt(call):
     return _line("KILL", call)
 
 
@@ -203,7 +205,7 @@
     return _line("RETURN", call, b64=_text(body))
 
 
-def go_without(call, number):
+def bypass(call, number):
     return _line("BYPASS", call, no=number)
 
 
--- a/valeturn/protocol/frames.py
+++ b/valeturn/protocol/frames.py
@@ -6,7 +6,7 @@
 import struct
 from typing import NamedTuple
 
-from .submitted import Submitted
+from .submission import Submission
 
 LEAST, MOST = 5, 262144  # what a frame's length may be
 KEPT = 4096  # bytes of a frame that are held, a body and all fields: hundreds of connections share the memory
@@ -22,23 +22,23 @@
 PLAIN = re.compile(r"[0-9]{1,16}(\.[0-9]{1,18})?")  # what else `float` reads is no number
 
 
-class Unreadable(NamedTuple):
+class InvalidSubmission(NamedTuple):
     """Framed well, but not a submission that can be read: it can be answered on its stream."""
 
     stream: int
     reason: str
 
 
-class Withdrawn(NamedTuple):
+class CancelRequest(NamedTuple):
     stream: int
 
 
-class HealthAsked(NamedTuple):
+class HealthCheckRequest(NamedTuple):
     stream: int
     deep: bool
 
 
-class Broken(NamedTuple):
+class ProtocolViolation(NamedTuple):
     """Nothing after this can be read on the connection."""
 
     reason: str
@@ -61,14 +61,14 @@
         while len(self.held) - at >= 4:
             length = int.from_bytes(self.held[at : at + 4], "little")
             if not LEAST <= length <= MOST:
-                out.append(Broken(f"frame length {length}"))
+                out.append(ProtocolViolation(f"frame length {length}"))
                 break
             if length > KEPT and len(self.held) - at >= HEADER.size:
                 _, kind, stream = HEADER.unpack_from(self.held, at)
                 if kind != CALL or stream == 0:
-                    out.append(Broken(f"frame type {kind} of length {length}"))
+                    out.append(ProtocolViolation(f"frame type {kind} of length {length}"))
                     break
-                self.passing, self.passed_over = 4 + length, Unreadable(stream, "frame too long")
+                self.passing, self.passed_over = 4 + length, InvalidSubmission(stream, "frame too long")
                 rest = self.pass_over(bytes(self.held[at:]), out)
                 at, self.held = 0, bytearray(rest)
                 continue
@@ -77,9 +77,9 @@
             _, kind, stream = HEADER.unpack_from(self.held, at)
             out.append(_frame(kind, stream, bytes(self.held[at + HEADER.size : at + 4 + length])))
             at += 4 + length
-            if isinstance(out[-1], Broken):
+            if isinstance(out[-1], ProtocolViolation):
                 break
-        self.broken = bool(out) and isinstance(out[-1], Broken)
+        self.broken = bool(out) and isinstance(out[-1], ProtocolViolation)
         del self.held[:at]
         return out
 
@@ -98,17 +98,17 @@
 
 def _frame(kind, stream, payload):
     if kind == CANCEL:
-        return Withdrawn(stream) if not payload else Broken("payload on a withdrawal")
+        return CancelRequest(stream) if not payload else ProtocolViolation("payload on a withdrawal")
     if kind not in (CALL, CHECK):
-        return Broken(f"frame type {kind}")
+        return ProtocolViolation(f"frame type {kind}")
     parsed = _fields(payload)
     if parsed is None:
-        return Broken("fields do not add up")
+        return ProtocolViolation("fields do not add up")
     fields, body = parsed
     if kind == CHECK:
-        return HealthAsked(stream, fields.get("e2e") == "1")
+        return HealthCheckRequest(stream, fields.get("e2e") == "1")
     if stream == 0:
-        return Broken("submission on stream 0")
+        return ProtocolViolation("submission on stream 0")
     return _submission(stream, fields, body)
 
 
@@ -158,7 +158,7 @@
         if len(body) > BODY:
             raise ValueError("body too long")
         wait, hint = _number(fields, "ttl", LONGEST), _number(fields, "work", LONGEST)
-        return Submitted(
+        return Submission(
             stream,
             call,
             workload,
@@ -175,7 +175,7 @@
             body,
         )
     except ValueError as error:
-        return Unreadable(stream, str(error))
+        return InvalidSubmission(stream, str(error))
 
 
 def _pack(kind, stream, payload):
@@ -198,7 +198,7 @@
     return _coded(ANSWER, stream, DELIVERED, _load(load), result)
 
 
-def turned_back(stream, retry_in=0.0, final=False, load=None):
+def rejected(stream, retry_in=0.0, final=False, load=None):
     fields = _load(load)
     if retry_in > 0:
         fields.append(("pushback", str(max(1, round(1000.0 * retry_in)))))
@@ -207,7 +207,7 @@
     return _coded(ANSWER, stream, TURNED_BACK, fields)
 
 
-def written_off(stream, load=None):
+def failed(stream, load=None):
     return _coded(ANSWER, stream, WRITTEN_OFF, _load(load))
 
 
--- a/valeturn/protocol/http.py
+++ b/valeturn/protocol/http.py
@@ -10,11 +10,11 @@
 MOST = MOST_HEAD + 6 * MOST_BODY
 
 
-class Answer(NamedTuple):
+class Response(NamedTuple):
     status: int
     headers: dict
     body: bytes
-    keep: bool  # the connection may be used again
+    keep_alive: bool  # the connection may be used again
 
 
 class Malformed(NamedTuple):
@@ -28,8 +28,8 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + body
 
 
-class AnswerDecoder:
-    """Of one answer. `feed` returns an Answer or a Malformed once there is one, else None; `end` tells it
+class ResponseDecoder:
+    """Of one answer. `feed` returns a Response or a Malformed once there is one, else None; `end` tells it
     that the other side has closed."""
 
     def __init__(self):
@@ -54,7 +54,7 @@
             return self._answer(False)
         return Malformed("closed before the answer was whole")
 
-    # Each form takes what it can: True to go on with the next, None to wait, or the Answer.
+    # Each form takes what it can: True to go on with the next, None to wait, or the Response.
 
     def _line(self, most):
         end = self.held.find(b"\n")
@@ -153,4 +153,4 @@
         code, headers, version = self.head
         wish = headers.get("connection", "" if version == "HTTP/1.1" else "close").lower()
         keep = sized and "close" not in wish and not self.held
-        return Answer(code, headers, bytes(self.body), keep)
+        return Response(code, headers, bytes(self.body), keep)
--- a/valeturn/protocol/submitted.py
+++ b/valeturn/protocol/submission.py
@@ -5,20 +5,20 @@
 from typing import NamedTuple
 
 
-class Submitted(NamedTuple):
+class Submission(NamedTuple):
     """What any front decodes a submission to; `stream` is where the front wants its answer."""
 
     stream: int
-    call: str
+    call_id: str
     workload: str
     tenant: str | None
-    reached: float  # Unix seconds
-    wait: float | None  # how long from then its caller waits
-    hint: float | None
+    arrived_at: float  # Unix seconds
+    timeout: float | None  # how long from then its caller waits
+    cost_hint: float | None
     memory: float
     rank: float
     caller: int
     subject: str | None
-    mark: str | None
-    retry: bool
+    idempotency_key: str | None
+    is_retry: bool
     body: bytes
--- a/valeturn/result_store/commands.py
+++ b/valeturn/result_store/commands.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Final
 
-from ..transport.worker_thread import Inline
+from ..transport.worker_thread import InlineWorker
 from . import directory, limits, records, window_clock
 from .compaction_policy import LATE_READ_GRACE
 from .directory import StoreDirectory
@@ -150,7 +150,7 @@
     open_store(files, window_clock.read_clocks(boot_id), may_create=False)
     environment = StoreEnvironment(
         files,
-        Inline(),
+        InlineWorker(),
         lambda: window_clock.read_clocks(boot_id),
         count=lambda *_: None,
         log=lambda *_: None,
--- a/valeturn/result_store/log.py
+++ b/valeturn/result_store/log.py
@@ -151,7 +151,7 @@
         payload = timestamp + b"".join([queued.data for queued in batch])
         data = records.encode_frame(self.active.number, self.sequence, payload)
         self.in_flight = InFlightBatch(batch, size, len(timestamp))
-        self.worker.ask(FrameAppended(), self.writer.append, data)
+        self.worker.submit(FrameAppended(), self.writer.append, data)
 
     def _open_next(self) -> recovery.Segment:
         """Ask for the next segment and return it; its head tells the sizes of those before."""
@@ -174,7 +174,7 @@
         self.recovered.segments[number] = self.active
         if self.health != HEALTHY:
             self.health = DiskHealth.REOPENING
-        self.worker.ask(SegmentBegun(number), self.writer.begin_segment, number, data)
+        self.worker.submit(SegmentBegun(number), self.writer.begin_segment, number, data)
         return self.active
 
     # The disk's health
@@ -188,7 +188,7 @@
     def _abandon_segment(self) -> None:
         """Close the failed descriptor: what reached the disk can't be known, and is written again later."""
         self.retry_at = self.clock.now() + self.settings.retry_delay
-        self.worker.ask(SegmentAbandoned(), self.writer.abandon)
+        self.worker.submit(SegmentAbandoned(), self.writer.abandon)
 
     def _report_recovery(self) -> None:
         self.log("store_disk_recovered", {"segment": self.active.number})
@@ -282,10 +282,10 @@
         self.recovered.segments.pop(number, None)
         self.set_aside.append(number)
         self.log("store_segment_set_aside", {"segment": number})
-        self.worker.ask(JobStepDone("set_aside", None), self.writer.set_aside, number)
+        self.worker.submit(JobStepDone("set_aside", None), self.writer.set_aside, number)
         while len(self.set_aside) > self.limits.damaged:
             oldest = directory.damaged_file(self.set_aside.pop(0))
-            self.worker.ask(JobStepDone("drop", None), self.files.remove, oldest)
+            self.worker.submit(JobStepDone("drop", None), self.files.remove, oldest)
 
     # Background jobs
 
@@ -326,7 +326,7 @@
         """Remove a segment from the log and delete its file."""
         self.recovered.segments.pop(number, None)
         self.count("store.segments_dropped")
-        self.worker.ask(JobStepDone("drop", None), self.writer.delete_segment, number)
+        self.worker.submit(JobStepDone("drop", None), self.writer.delete_segment, number)
 
     def _step_background(self, now: float) -> None:
         """Do one step of what is done in the background."""
--- a/valeturn/result_store/log_jobs.py
+++ b/valeturn/result_store/log_jobs.py
@@ -65,7 +65,7 @@
         self._ask(log.writer.begin_snapshot, snapshot.encode_head(head))
 
     def _ask(self, function: Callable[..., int], argument: bytes | int) -> None:
-        self.log.worker.ask(JobStepDone(function.__name__, self), function, argument)
+        self.log.worker.submit(JobStepDone(function.__name__, self), function, argument)
 
     def step(self) -> bool:
         """Copy some shards; the job is over when the worker thread has written the end."""
@@ -110,7 +110,7 @@
         self.awaited: dict[int, QueuedRecord] | None = None  # what must be durable before the segment may go
         self.has_bad_tail = False
         log.count("store.compactions")
-        log.worker.ask(JobStepDone("read_segment", self), log.writer.read_segment, number)
+        log.worker.submit(JobStepDone("read_segment", self), log.writer.read_segment, number)
 
     def on_done(self, step: str, result: bytes) -> None:
         """Take the segment's bytes."""
--- a/valeturn/result_store/store.py
+++ b/valeturn/result_store/store.py
@@ -231,14 +231,14 @@
             self.events.append(StoreEvent(RESULT_READ, request_id, None))
         else:
             request = RecordRead(request_id, lookup.digest)
-            self.worker.ask(request, self.writer.read_record, row.segment, row.offset, row.size)
+            self.worker.submit(request, self.writer.read_record, row.segment, row.offset, row.size)
         return None
 
     # What the worker thread has done
 
     def collect(self) -> list[StoreEvent]:
         """Handle what the worker thread has done, and return the events since the last call."""
-        for request, result in self.worker.taken():
+        for request, result in self.worker.collect():
             self._worker_handlers[type(request)](request, result)
         events = self.events
         self.events = []
@@ -294,7 +294,7 @@
         moved = row is not None and row.state == STORED and result is not None
         if row is not None and moved and request.digest not in self.entries:
             # Compaction moved the record between the request and the reading.
-            self.worker.ask(request, self.writer.read_record, row.segment, row.offset, row.size)
+            self.worker.submit(request, self.writer.read_record, row.segment, row.offset, row.size)
             return
         self.count("store.unreadable_records")
         self.events.append(StoreEvent(RESULT_READ, request.request_id, None))
--- a/valeturn/result_store/worker.py
+++ b/valeturn/result_store/worker.py
@@ -14,10 +14,10 @@
 
     busy: bool  # whether jobs end later than they are asked for
 
-    def ask(self, what: object, function: Callable[..., Any], *args: Any) -> None:  # noqa: ANN401
+    def submit(self, what: object, function: Callable[..., Any], *args: Any) -> None:  # noqa: ANN401
         """Queue a call; `what` comes back with its result."""
 
-    def taken(self) -> list[tuple[Any, Any]]:
+    def collect(self) -> list[tuple[Any, Any]]:
         """Return what was asked for and its result, or the OSError, for all jobs that ended."""
 
     def finish(self, patience: float) -> bool:
--- a/valeturn/server/components/degradation.py
+++ b/valeturn/server/components/degradation.py
@@ -6,8 +6,8 @@
 
 from ...control import answers, requests
 from ...degradation.options import build_levels
-from ...dispatch.degradation_monitor import Reducing
-from ...dispatch.messages import Told
+from ...dispatch.degradation_monitor import DegradationMonitor
+from ...dispatch.messages import DeferredEvent
 from . import Component as BaseComponent
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
         names = server.configuration.names
         levels = build_levels(options, names)
         now = server.scheduler.clock()
-        self.monitor = Reducing(now, levels, names.settings, server.counters.add, server.log)
+        self.monitor = DegradationMonitor(now, levels, names.settings, server.counters.add, server.log)
 
     def _figures(self) -> dict[str, Any]:
         figures: dict[str, Any] = self.monitor.figures(self.server.scheduler.clock())
@@ -42,7 +42,7 @@
         """Replace the levels; what the active level restricts may have changed."""
         self.options = options
         self.monitor.decision.configure(build_levels(options, self.server.configuration.names))
-        self.server.core.put(Told(self.monitor.event()))
+        self.server.dispatcher.put(DeferredEvent(self.monitor.event()))
 
     def answer(self, request: requests.ControlRequest) -> bytes | None:
         """Hold or release a level; nothing about requests is decided here."""
@@ -58,5 +58,5 @@
         if told is None:
             return answers.encode_rejection(reason)
         for event in told:
-            self.server.core.mailbox.push(Told(event))
+            self.server.dispatcher.mailbox.push(DeferredEvent(event))
         return answers.encode_success()
--- a/valeturn/server/components/maintenance.py
+++ b/valeturn/server/components/maintenance.py
@@ -68,20 +68,22 @@
         """Return the share of the cores in use: as the gauges tell, or by the running requests."""
         server = self.server
         names = server.configuration.names
-        core = server.core
-        measured: float | None = names.gauges(core.runs.gauges).busy
+        dispatcher = server.dispatcher
+        measured: float | None = names.gauges(dispatcher.runs.gauges).busy
         if measured is not None:
             return measured
-        return float(min(1.0, core.beliefs()["running"] / max(1, names.settings.cores)))
+        return float(min(1.0, dispatcher.gauges()["running"] / max(1, names.settings.cores)))
 
     def _warmup(self) -> float:
         """Return the share of its full speed that the server has reached."""
-        core = self.server.core
+        dispatcher = self.server.dispatcher
         settings = self.server.configuration.names.settings
-        age = self.server.scheduler.clock() - core.warm_since
-        if not core.cold or age >= settings.cold_time:
+        age = self.server.scheduler.clock() - dispatcher.warm_since
+        if not dispatcher.cold or age >= settings.warm_up_time:
             return 1.0
-        speed: float = settings.cold_speed + (1 - settings.cold_speed) * age / settings.cold_time
+        speed: float = (
+            settings.cold_start_speed + (1 - settings.cold_start_speed) * age / settings.warm_up_time
+        )
         return speed
 
     def _is_overloaded(self) -> bool:
@@ -95,7 +97,7 @@
             self._requests_at_last_look = received
             self._rejections_at_last_look = rejected
         rejects_many = enough and new_rejections > OVERLOAD_REJECTED_SHARE * new_requests
-        return self._level_is_active() or rejects_many or not self.server.core.good
+        return self._level_is_active() or rejects_many or not self.server.dispatcher.healthy
 
     def _level_is_active(self) -> bool:
         degradation = self.server.components.get("level")
--- a/valeturn/server/components/result_store.py
+++ b/valeturn/server/components/result_store.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ...dispatch.messages import DiskNews
+from ...dispatch.messages import StoreProgressed
 from ...result_store import limits, window_clock
 from ...result_store.directory import StoreDirectory
 from ...result_store.environment import StoreEnvironment, StoreSettings
 from ...result_store.errors import StoreRefusedError
 from ...result_store.store import ResultStore
 from ...transport.streams import Stream
-from ...transport.worker_thread import Helper
+from ...transport.worker_thread import WorkerThread
 from ..configuration import ConfigurationError
 from . import Component as BaseComponent
 
@@ -26,7 +26,7 @@
 
     def __init__(self, server: Server, options: Any) -> None:  # noqa: ANN401 - as the base class
         super().__init__(server, options)
-        self._worker = Helper()
+        self._worker = WorkerThread()
         try:
             self.store = self._open_store()
         except (StoreRefusedError, OSError) as error:
@@ -49,7 +49,9 @@
             server.log,
         )
         settings = server.configuration.names.settings
-        longest_window = max([one.window for one in settings.workloads], default=0.0) + 2 * settings.tick
+        longest_window = (
+            max([one.deduplication_window for one in settings.workloads], default=0.0) + 2 * settings.tick
+        )
         derived = limits.derive_limits(options.disk, options.memory, options.segment)
         return ResultStore(environment, StoreSettings(derived, options.retry, longest_window))
 
@@ -61,7 +63,7 @@
         """Tell the dispatcher whenever the store's worker thread has done something; runs as a task."""
         stream = Stream(self.server.scheduler, self._worker.end)
         while isinstance(stream.read(), bytes):
-            self.server.core.put(DiskNews())
+            self.server.dispatcher.put(StoreProgressed())
 
     def gauges(self) -> dict[str, Any]:
         """Return the store's figures."""
--- a/valeturn/server/components/singleton_tasks.py
+++ b/valeturn/server/components/singleton_tasks.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ...cluster.task_options import SHARE_CALLS, SingletonTaskOptions
-from ...dispatch.call_quota import Sharing
+from ...dispatch.call_quota import CallQuotaMonitor
 from . import Component as BaseComponent
 from .cluster import Component as ClusterComponent
 
@@ -28,7 +28,7 @@
     """Hands the tasks to the cluster's node."""
 
     applies_changes = True
-    sharing: Sharing | None = None
+    sharing: CallQuotaMonitor | None = None
 
     def __init__(self, server: Server, options: Any) -> None:  # noqa: ANN401 - as the base class
         super().__init__(server, options)
@@ -41,11 +41,11 @@
             self.node.share_calls(*shared, self._needed_calls)
             quota = self.node.call_quota
             assert quota is not None  # share_calls has made it
-            self.sharing = Sharing(quota.available)
+            self.sharing = CallQuotaMonitor(quota.available)
 
     def _needed_calls(self) -> float:
         assert self.sharing is not None
-        needed: float = self.sharing.need(self.server.core.at_calls())
+        needed: float = self.sharing.need(self.server.dispatcher.call_count())
         return needed
 
     def can_apply(self, options: Any) -> bool:  # noqa: ANN401 - as the base class
--- a/valeturn/server/configuration.py
+++ b/valeturn/server/configuration.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from ..admission.settings import Names
+from ..admission.settings import DecodedSettings
 from ..errors import ValeturnError
 
 if TYPE_CHECKING:
@@ -63,7 +63,7 @@
     sockets: int  # descriptors that the process may have open
     memory_mb: float
     cores: float  # that the process may use
-    names: Names
+    names: DecodedSettings
 
 
 RELOADABLE = ("executor", "naming", "ledger")  # fields that a reload takes over
@@ -111,7 +111,7 @@
     return limits
 
 
-def _names(raw: Mapping[str, Any]) -> Names:
+def _names(raw: Mapping[str, Any]) -> DecodedSettings:
     settings = raw.get("settings")
     if not isinstance(settings, dict):
         raise ConfigurationError("settings", "wants an object")
@@ -119,7 +119,7 @@
     if not isinstance(classes, list) or not classes:
         raise ConfigurationError("settings.request_classes", "wants a list with at least one entry")
     try:
-        names = Names(settings)
+        names = DecodedSettings(settings)
     except ValueError as error:
         field, _, problem = f"settings.{error}".partition(": ")
         raise ConfigurationError(field, problem) from None
@@ -168,7 +168,7 @@
     """Refuse what admission can't decide with; the rest it takes as it comes, small and zero too."""
     least_of = (
         ("domain.cpus", settings.cores, 1),
-        ("rules.overload_factor", settings.crowd_factor, 1),
+        ("rules.overload_factor", settings.max_concurrency_per_core, 1),
     )
     for key, value, least in least_of:
         if not value >= least:
@@ -179,7 +179,7 @@
         if not isinstance(request_class.name, str) or not request_class.name or request_class.name in names:
             raise ConfigurationError(f"{where}.name", f"wants a name of its own, has {request_class.name!r}")
         names.add(request_class.name)
-        if not request_class.latency_goal > 0:
+        if not request_class.latency_objective > 0:
             raise ConfigurationError(f"{where}.goal_time_ms", "wants more than 0, as give_up_ms does")
     tenants = set()
     for index, tenant in enumerate(settings.tenants):
--- a/valeturn/server/reload.py
+++ b/valeturn/server/reload.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, NamedTuple
 
-from ..transport.streams import Stream, Trouble
+from ..transport.streams import Stream, StreamFault
 from .configuration import Configuration, ConfigurationError
 
 if TYPE_CHECKING:
@@ -113,7 +113,7 @@
         try:
             while isinstance(data := stream.read(max(0.0, deadline - self._scheduler.clock())), bytes):
                 received.append(data)
-            if data is Trouble.TIMED_OUT:
+            if data is StreamFault.TIMED_OUT:
                 raise TimeoutError
         finally:
             stream.close()
--- a/valeturn/server/server.py
+++ b/valeturn/server/server.py
@@ -8,18 +8,18 @@
 import time
 from typing import TYPE_CHECKING
 
-from ..admission.controller import Rules
-from ..dispatch.dispatcher import Core, Parties, Telling
-from ..dispatch.executor_client import ExecutorLink
-from ..dispatch.gateway_server import Gateways
-from ..dispatch.ledger_client import Ledger
-from ..dispatch.registry_client import Reporter
-from ..dispatch.turn_pacing import Pace
+from ..admission.controller import AdmissionController
+from ..dispatch.dispatcher import Collaborators, Dispatcher, Instrumentation
+from ..dispatch.executor_client import ExecutorClient
+from ..dispatch.gateway_server import GatewayServer
+from ..dispatch.ledger_client import LedgerClient
+from ..dispatch.registry_client import RegistryClient
+from ..dispatch.turn_pacing import TurnPacing
 from ..errors import ValeturnError
 from ..transport import early_signals
 from ..transport.listener import Listener, listening
 from ..transport.scheduler import Scheduler, Task
-from ..transport.seeded_random import Chance
+from ..transport.seeded_random import SeededRandom
 from ..transport.signals import Signals
 from .configuration import RELOADABLE, Configuration
 from .counters import Counters
@@ -112,28 +112,28 @@
         scheduler = self.scheduler
         configuration = self.configuration
         count = self.counters.add
-        random = Chance(configuration.seed)
-        self.link = ExecutorLink(scheduler, configuration.executor, random, self._post, count)
+        random = SeededRandom(configuration.seed)
+        self.link = ExecutorClient(scheduler, configuration.executor, random, self._post, count)
         self.components = self._open_components()
-        self.ledger = Ledger(scheduler, configuration.ledger, self.limits.calls, self._post, count)
-        self.gateways = Gateways(scheduler, self._post, configuration.names, self.limits, count)
-        self.reporter = Reporter(scheduler, configuration.naming, configuration.name, random, count)
-        self.core = Core(
+        self.ledger = LedgerClient(scheduler, configuration.ledger, self.limits.calls, self._post, count)
+        self.gateways = GatewayServer(scheduler, self._post, configuration.names, self.limits, count)
+        self.reporter = RegistryClient(scheduler, configuration.naming, configuration.name, random, count)
+        self.dispatcher = Dispatcher(
             scheduler,
             configuration.names,
             self.limits,
-            Pace(scheduler.clock, configuration.cores),
+            TurnPacing(scheduler.clock, configuration.cores),
             self._make_controller,
-            Parties(self.link, self.ledger, self.gateways, self.reporter),
-            Telling(count, self.counters.times, self.log),
+            Collaborators(self.link, self.ledger, self.gateways, self.reporter),
+            Instrumentation(count, self.counters.times, self.log),
             getattr(self.components.get("store"), "store", None),
             getattr(self.components.get("level"), "monitor", None),
             getattr(self.components.get("duty"), "sharing", None),
         )
-        self.core.trace = self.log if verbose else None
+        self.dispatcher.trace = self.log if verbose else None
 
     def _post(self, message: object) -> None:
-        self.core.put(message)
+        self.dispatcher.put(message)
 
     def _open_components(self) -> dict[str, Component]:
         """Return the components by section; without an operator's file none of their code is loaded."""
@@ -144,15 +144,17 @@
         opened: dict[str, Component] = components.open_all(self, self.options)
         return opened
 
-    def _make_controller(self, executor_cold: bool, executor_age: float) -> Rules:
+    def _make_controller(self, executor_cold: bool, executor_age: float) -> AdmissionController:
         """Return an admission controller for an executor that started so many seconds ago.
 
         A server warms up if its executor was just started cold, or its settings say so.
         """
         settings = self.configuration.names.settings
-        warming = settings.cold or executor_cold
+        warming = settings.starts_cold or executor_cold
         started_at = self.scheduler.clock() - executor_age
-        return Rules(settings._replace(cold=warming), self.configuration.seed, started_at)
+        return AdmissionController(
+            settings._replace(starts_cold=warming), self.configuration.seed, started_at
+        )
 
     def _task_failed(self, task: Task, error: BaseException) -> None:
         self.counters.add(f"errors.{task.name}")
@@ -205,9 +207,9 @@
         Signals(self.scheduler, actions)
 
     def _start_tasks(self) -> None:
-        self.scheduler.spawn(self.core.run, name="core", late=True)
-        self.scheduler.spawn_lasting(self.check_connections, name="sweep")
-        self.scheduler.spawn_lasting(self.status.print_periodically, name="counters")
+        self.scheduler.spawn(self.dispatcher.run, name="core", late=True)
+        self.scheduler.spawn_supervised(self.check_connections, name="sweep")
+        self.scheduler.spawn_supervised(self.status.print_periodically, name="counters")
         for component in self.components.values():
             component.start()
 
--- a/valeturn/server/shutdown.py
+++ b/valeturn/server/shutdown.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from ..dispatch.gateway_server import CLOSING
-from ..dispatch.messages import Leaving, Stopping
+from ..dispatch.messages import DrainRequested, StopRequested
 
 if TYPE_CHECKING:
     from .server import Server
@@ -57,7 +57,7 @@
         end = begun_at + self.duration
         last = end - self.margin
         clock = self._server.scheduler.clock
-        self._server.core.put(Leaving(last - clock()))
+        self._server.dispatcher.put(DrainRequested(last - clock()))
         self._serve_through_grace(begun_at)
         self._answer_all(last)
         self._close_connections(last)
@@ -81,10 +81,10 @@
         listener = server.gateways.listener
         assert listener is not None  # it was made before a signal could come
         listener.drain(last)
-        while clock() < last and (server.gateways.connections or server.core.owed()):
+        while clock() < last and (server.gateways.connections or server.dispatcher.unanswered_count()):
             server.scheduler.sleep(min(POLL_PERIOD, last - clock()))
-        server.core.put(Stopping())
-        while server.core.owed() and clock() < last + self.margin / 4:
+        server.dispatcher.put(StopRequested())
+        while server.dispatcher.unanswered_count() and clock() < last + self.margin / 4:
             server.scheduler.pause()
 
     def _close_connections(self, last: float) -> None:
@@ -99,7 +99,7 @@
             "server_drained",
             {
                 "connections": len(server.gateways.connections),
-                "unanswered": server.core.owed(),
+                "unanswered": server.dispatcher.unanswered_count(),
                 "took_s": server.scheduler.clock() - begun_at,
             },
         )
--- a/valeturn/server/status.py
+++ b/valeturn/server/status.py
@@ -45,13 +45,13 @@
         server = self._server
         connections = server.gateways.connections
         return {
-            **server.core.beliefs(),
+            **server.dispatcher.gauges(),
             "calls_out": len(server.ledger.out),
             "connections": len(connections),
             "connections_in_use": sum(bool(connection.open) for connection in connections),
             "report_age_s": server.scheduler.clock() - server.reporter.reported_at,
             "link_up": int(server.link.up),
-            "cpu_share": server.core.pace.share,
+            "cpu_share": server.dispatcher.pace.share,
             **{
                 key: value
                 for component in server.components.values()
--- a/valeturn/simulator_adapter/host.py
+++ b/valeturn/simulator_adapter/host.py
@@ -5,7 +5,7 @@
 import json
 import sys
 
-from ..admission.controller import Rules
+from ..admission.controller import AdmissionController
 from .wire import ACTIONS, EVENTS, Decoder
 
 WRITE = json.JSONEncoder(separators=(",", ":")).encode  # made once: json.dumps would make one a message
@@ -45,7 +45,7 @@
             try:
                 if m[0] == "UP":
                     decoder = Decoder(m[3])
-                    self.instances[i] = decoder, Rules(decoder.settings, m[2], self.clock)
+                    self.instances[i] = decoder, AdmissionController(decoder.settings, m[2], self.clock)
                     pending[i] = []
                 elif m[0] == "DOWN":
                     self.instances.pop(i, None)
--- a/valeturn/transport/listener.py
+++ b/valeturn/transport/listener.py
@@ -55,7 +55,7 @@
         self.evict = evict
         self.sock = sock or listening(address, lambda _: None, lambda: float("inf"))
         self.closed, self.shortages = False, 0
-        self.task = scheduler.spawn_lasting(self.run, name="listener")
+        self.task = scheduler.spawn_supervised(self.run, name="listener")
 
     def run(self):
         while not self.closed:
--- a/valeturn/transport/scheduler.py
+++ b/valeturn/transport/scheduler.py
@@ -72,7 +72,7 @@
         self.wake(task)
         return task
 
-    def spawn_lasting(self, function, name):
+    def spawn_supervised(self, function, name):
         """One that the server can't do without: after a fault, which is told, it goes on from its beginning.
         Without this a single odd event would leave a server that lives and no longer accepts, reports or
         drains."""
--- a/valeturn/transport/signals.py
+++ b/valeturn/transport/signals.py
@@ -21,7 +21,7 @@
         signal.set_wakeup_fd(other, warn_on_full_buffer=False)
         for number in actions:
             signal.signal(number, lambda *_: None)
-        scheduler.spawn_lasting(self.run, name="signals")
+        scheduler.spawn_supervised(self.run, name="signals")
         for number in HELD:
             signal.raise_signal(number)
         HELD.clear()
--- a/valeturn/transport/streams.py
+++ b/valeturn/transport/streams.py
@@ -17,7 +17,7 @@
 MADE = (0, errno.EISCONN)
 
 
-class Trouble(Enum):
+class StreamFault(Enum):
     CLOSED = "closed by the other side"
     RESET = "connection broken"
     TIMED_OUT = "time is up"
@@ -26,7 +26,7 @@
     SHUT = "closed on this side"
 
 
-TROUBLES = {errno.ECONNREFUSED: Trouble.REFUSED, errno.ETIMEDOUT: Trouble.TIMED_OUT}
+FAULTS_BY_ERRNO = {errno.ECONNREFUSED: StreamFault.REFUSED, errno.ETIMEDOUT: StreamFault.TIMED_OUT}
 
 
 class Stream:
@@ -35,13 +35,13 @@
         if sock.family == socket.AF_INET:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.scheduler, self.sock, self.most_unsent = scheduler, sock, most_unsent
-        self.unsent, self.writer, self.trouble = bytearray(), None, None
+        self.unsent, self.writer, self.fault = bytearray(), None, None
         self.reads = 0  # in a row that found bytes
 
     def read(self, timeout=None):
-        """Bytes as soon as there are some, or a Trouble. A wait that is interrupted counts as one that is
+        """Bytes as soon as there are some, or a StreamFault. A wait that is interrupted counts as one that is
         over."""
-        while self.trouble is None:
+        while self.fault is None:
             if self.reads >= READS:
                 self.reads = 0
                 self.scheduler.pause()
@@ -52,44 +52,44 @@
                 return got
             self.reads = 0
             if not self.scheduler.wait_fd(self.sock.fileno(), READ, timeout):
-                return self.trouble or Trouble.TIMED_OUT
-        return self.trouble
+                return self.fault or StreamFault.TIMED_OUT
+        return self.fault
 
     def take(self):
-        """What is there at this moment: bytes, a Trouble, or None where nothing is."""
-        if self.trouble is not None:
-            return self.trouble
+        """What is there at this moment: bytes, a StreamFault, or None where nothing is."""
+        if self.fault is not None:
+            return self.fault
         try:
-            return self.sock.recv(CHUNK) or Trouble.CLOSED
+            return self.sock.recv(CHUNK) or StreamFault.CLOSED
         except BlockingIOError:
             return None
         except OSError:
-            return Trouble.RESET
+            return StreamFault.RESET
 
     def quiet(self):
         """True where nothing is unread or unsent at this moment: a close resets nothing then."""
-        return self.trouble is None and not self.unsent and not readable(self.sock.fileno())
+        return self.fault is None and not self.unsent and not readable(self.sock.fileno())
 
     def interrupt(self):
         """Ends a wait for something to read."""
-        if self.trouble is None:
+        if self.fault is None:
             self.scheduler.interrupt(self.sock.fileno(), READ)
 
     def write(self, data):
         """Sends what the socket takes and keeps the rest for a task of its own. False once it is broken or
         more waits than may: the reader at the other end is too slow to be served."""
-        if self.trouble is not None:
+        if self.fault is not None:
             return False
         if not self.unsent:
             sent = self._send(data)
             data = data[sent:] if sent else data
-        if data and self.trouble is None:
+        if data and self.fault is None:
             self.unsent += data
             if len(self.unsent) > self.most_unsent:
-                self.close(Trouble.RESET)
+                self.close(StreamFault.RESET)
             elif self.writer is None:
                 self.writer = self.scheduler.spawn(self._write_rest, name="writer")
-        return self.trouble is None
+        return self.fault is None
 
     def _send(self, data):
         try:
@@ -97,18 +97,18 @@
         except BlockingIOError:
             return 0
         except OSError:
-            self.trouble = Trouble.RESET
+            self.fault = StreamFault.RESET
             return 0
 
     def _write_rest(self):
-        while self.unsent and self.trouble is None:
-            if self.scheduler.wait_fd(self.sock.fileno(), WRITE) and self.trouble is None:
+        while self.unsent and self.fault is None:
+            if self.scheduler.wait_fd(self.sock.fileno(), WRITE) and self.fault is None:
                 del self.unsent[: self._send(self.unsent)]
         self.writer = None
 
     def flush(self, until):
         """Waits until all that was written has been sent, at the latest to that moment."""
-        while self.unsent and self.trouble is None and self.scheduler.clock() < until:
+        while self.unsent and self.fault is None and self.scheduler.clock() < until:
             self.scheduler.sleep(FLUSH)
 
     def lingering_close(self, timeout, last=None):
@@ -126,33 +126,33 @@
             left -= len(got)
             if last is not None:
                 last(got)
-        if self.trouble is None and got is not Trouble.RESET:
+        if self.fault is None and got is not StreamFault.RESET:
             try:
                 self.sock.shutdown(socket.SHUT_WR)
             except OSError:
                 pass
             left = LINGER
-            while got is not Trouble.CLOSED and left > 0 and (now := self.scheduler.clock()) < until:
+            while got is not StreamFault.CLOSED and left > 0 and (now := self.scheduler.clock()) < until:
                 got = self.read(until - now)
                 if not isinstance(got, bytes):
                     break
                 left -= len(got)
         self.close()
 
-    def close(self, why=Trouble.SHUT):
+    def close(self, why=StreamFault.SHUT):
         if self.sock.fileno() < 0:
             return
-        self.trouble = self.trouble or why
+        self.fault = self.fault or why
         self.scheduler.closing(self.sock.fileno())
         self.sock.close()
 
 
 def connect(scheduler, address, timeout):
-    """A Stream, or the Trouble that kept it from coming about: nothing was sent then."""
+    """A Stream, or the StreamFault that kept it from coming about: nothing was sent then."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     except OSError:  # out of descriptors
-        return Trouble.UNREACHED
+        return StreamFault.UNREACHED
     code = None
     try:
         sock.setblocking(False)
@@ -168,4 +168,4 @@
             sock.close()
     if code in MADE:
         return Stream(scheduler, sock)
-    return TROUBLES.get(code, Trouble.UNREACHED)
+    return FAULTS_BY_ERRNO.get(code, StreamFault.UNREACHED)
--- a/valeturn/transport/worker_thread.py
+++ b/valeturn/transport/worker_thread.py
@@ -14,7 +14,7 @@
 from collections import deque
 
 
-class Helper:
+class WorkerThread:
     busy = True  # its jobs end by and by
 
     def __init__(self):
@@ -24,8 +24,8 @@
         self.thread = threading.Thread(target=self._run, name="disk", daemon=True)
         self.thread.start()
 
-    def ask(self, what, function, *args):
-        """Calls the function over there; (what, result or OSError) comes back through `taken`."""
+    def submit(self, what, function, *args):
+        """Calls the function over there; (what, result or OSError) comes back through `collect`."""
         self.jobs.put((what, function, args))
 
     def _run(self):
@@ -46,7 +46,7 @@
             except OSError:  # full: there are wake-ups enough on their way; or closed: nobody listens
                 pass
 
-    def taken(self):
+    def collect(self):
         """All ends that were not taken yet."""
         out = []
         while self.done:
@@ -60,7 +60,7 @@
         return not self.thread.is_alive()
 
 
-class Inline:
+class InlineWorker:
     """Does each job when it is asked for, or, held, when `step` says so: for tools and tests."""
 
     busy = False
@@ -68,7 +68,7 @@
     def __init__(self, held=False):
         self.held, self.waiting, self.done = held, deque(), deque()
 
-    def ask(self, what, function, *args):
+    def submit(self, what, function, *args):
         self.waiting.append((what, function, args))
         if not self.held:
             self.step()
@@ -83,7 +83,7 @@
             self.done.append((what, result))
             count = None if count is None else count - 1
 
-    def taken(self):
+    def collect(self):
         out = list(self.done)
         self.done.clear()
         return out
