--- a/tests/admission/test_any_settings.py
+++ b/tests/admission/test_any_settings.py
@@ -1,4 +1,8 @@
-"""Settings and bytes of any customer: what the pages allow starts and decides; all else ends in one value."""
+"""Arbitrary settings and arbitrary bytes from peers.
+
+Settings that the specification allows start and decide; all others are rejected in one line that names the
+key. Bytes that cannot be decoded end in a value, never in an exception.
+"""
 
 import copy
 import json
@@ -22,58 +26,61 @@
 from valeturn.server import configuration
 from valeturn.server.server import Server
 
-QUICK = hypothesis_settings(derandomize=True, max_examples=250, deadline=None, database=None)
+HYPOTHESIS_SETTINGS = hypothesis_settings(derandomize=True, max_examples=250, deadline=None, database=None)
 
 # ---- settings
 
 
-def day(names):
-    """A few submissions through a module with these settings, and a drain; the kinds of what it did."""
-    s = names.settings
-    rules, now, did = AdmissionController(s, 1, 0.0), 0.0, []
+def decide_and_drain(decoded):
+    """Pass a few submissions and a drain through a controller with these settings.
+
+    Returns (type, id) of each action; the id is None where the action has none.
+    """
+    deployment = decoded.settings
+    controller, now, actions_seen = AdmissionController(deployment, 1, 0.0), 0.0, []
 
     def batch(*events):
         nonlocal now
         now += 0.05
-        actions = rules.decide(now, list(events))
-        for a in actions:
-            waits = [
+        actions = controller.decide(now, list(events))
+        for action in actions:
+            durations = [
                 value
-                for field, value in zip(a._fields, a)
+                for field, value in zip(action._fields, action)
                 if field in ("idle_time", "delay", "timeout", "retry_after")
             ]
-            assert all(math.isfinite(value) and value >= 0 for value in waits), a
-        did.extend((type(a), getattr(a, "id", None)) for a in actions)
+            assert all(math.isfinite(value) and value >= 0 for value in durations), action
+        actions_seen.extend((type(action), getattr(action, "id", None)) for action in actions)
         return actions
 
-    for number in range(3 * len(s.workloads)):
-        index = number % len(s.workloads)
+    for number in range(3 * len(deployment.workloads)):
+        index = number % len(deployment.workloads)
         batch(
             interface.Arrived(
                 number,
                 index,
-                tenant=0 if s.tenants else None,
+                tenant=0 if deployment.tenants else None,
                 memory=8.0,
                 time_left=5.0,
                 cost_hint=0.1,
                 subject=None if number % 2 else "k",
             )
         )
-        if (interface.Start, number) in did:
+        if (interface.Start, number) in actions_seen:
             batch(interface.CallRequested(number))
-            if (interface.Call, number) in did:
+            if (interface.Call, number) in actions_seen:
                 batch(interface.CallEnded(number, interface.Outcome.DONE, 0.02))
             batch(interface.Ended(number, interface.Outcome.DONE, 0.1))
         batch(interface.TimerFired(0, interface.Gauges(0.5, 1, 0.1, 3)))
     batch(interface.DrainStarted(1.0))
     for _ in range(20):
         batch(interface.TimerFired(0, interface.Gauges()))
-    owed = [sub for sub in rules.live.values() if sub.owed]
-    assert not owed, "held past the stop"
-    return did
+    unanswered = [request for request in controller.live.values() if request.owed]
+    assert not unanswered, "unanswered at the stop"
+    return actions_seen
 
 
-SMALLEST = {"request_classes": [{"name": "x"}]}
+MINIMAL_SETTINGS = {"request_classes": [{"name": "x"}]}
 
 
 @pytest.mark.parametrize(
@@ -114,15 +121,15 @@
         ("domain.calls_by_class", []),
     ],
 )
-def test_what_the_pages_allow_starts_and_decides(path, value):
-    c = configuration.decode(changed("settings." + path, value))
-    assert c.names.settings.workloads and day(c.names)
-    assert configuration.decode({**CONFIG, "settings": SMALLEST}).names.settings.cores == 1
+def test_settings_that_the_specification_allows_start_and_decide(path, value):
+    decoded = configuration.decode(changed("settings." + path, value))
+    assert decoded.names.settings.workloads and decide_and_drain(decoded.names)
+    assert configuration.decode({**CONFIG, "settings": MINIMAL_SETTINGS}).names.settings.cores == 1
 
 
-def test_a_goal_behind_the_cut_off_is_the_cut_off():
-    c = configuration.decode(changed("settings.request_classes.1.goal_time_ms", 9000))
-    assert c.names.settings.workloads[1].latency_objective == 1.5
+def test_a_latency_objective_after_the_timeout_is_the_timeout():
+    decoded = configuration.decode(changed("settings.request_classes.1.goal_time_ms", 9000))
+    assert decoded.names.settings.workloads[1].latency_objective == 1.5
 
 
 @pytest.mark.parametrize(
@@ -145,13 +152,13 @@
         ("limits.cores", float("nan"), "limits.cores"),
     ],
 )
-def test_what_they_do_not_ends_in_one_line_that_names_the_key(path, value, field):
-    with pytest.raises(configuration.ConfigurationError) as wrong:
+def test_invalid_settings_are_rejected_in_one_line_that_names_the_key(path, value, field):
+    with pytest.raises(configuration.ConfigurationError) as error:
         configuration.decode(changed(path, value))
-    assert field in str(wrong.value) and "\n" not in str(wrong.value)
+    assert field in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_wrong_file_ends_a_start_at_once_with_code_2_and_one_line(tmp_path):
+def test_an_invalid_file_ends_a_start_with_status_2_and_one_line(tmp_path):
     path = tmp_path / "config.json"
     path.write_text(json.dumps(changed("settings.domain.cpus", "six")))
     done = subprocess.run(
@@ -164,7 +171,7 @@
     assert (done.returncode, done.stderr.count("\n")) == (2, 1) and "settings.domain.cpus" in done.stderr
 
 
-PLACES = [
+PATHS = [
     "servers",
     "tick_ms",
     "counted_by",
@@ -213,55 +220,56 @@
 )
 
 
-@QUICK
-@given(st.lists(st.tuples(st.sampled_from(PLACES), VALUES), min_size=1, max_size=3))
-def test_any_settings_are_refused_in_one_line_or_decided_with(changes):
+@HYPOTHESIS_SETTINGS
+@given(st.lists(st.tuples(st.sampled_from(PATHS), VALUES), min_size=1, max_size=3))
+def test_arbitrary_settings_are_rejected_in_one_line_or_decide(changes):
     raw = copy.deepcopy(CONFIG)
     for path, value in changes:
-        *way, last = path.split(".")
-        at = raw["settings"]
-        for step in way:
-            at = (
-                at[int(step)]
-                if isinstance(at, list) and step.isdigit() and int(step) < len(at)
-                else (at.get(step) if isinstance(at, dict) else None)
+        *parents, key = path.split(".")
+        container = raw["settings"]
+        for step in parents:
+            container = (
+                container[int(step)]
+                if isinstance(container, list) and step.isdigit() and int(step) < len(container)
+                else (container.get(step) if isinstance(container, dict) else None)
             )
-            if not isinstance(at, (dict, list)):
+            if not isinstance(container, (dict, list)):
                 break
-        if isinstance(at, dict):
-            at[last] = value
-        elif isinstance(at, list) and last.isdigit() and int(last) < len(at):
-            at[int(last)] = value
+        if isinstance(container, dict):
+            container[key] = value
+        elif isinstance(container, list) and key.isdigit() and int(key) < len(container):
+            container[int(key)] = value
     try:
-        c = configuration.decode(raw)
-    except configuration.ConfigurationError as wrong:
-        assert "\n" not in str(wrong)
+        decoded = configuration.decode(raw)
+    except configuration.ConfigurationError as error:
+        assert "\n" not in str(error)
         return
-    day(c.names)
+    decide_and_drain(decoded.names)
 
 
-def test_no_limit_on_descriptors_leaves_the_configured_one(monkeypatch):
+def test_without_a_descriptor_limit_the_configured_one_applies(monkeypatch):
     monkeypatch.setattr(resource, "getrlimit", lambda _: (resource.RLIM_INFINITY,) * 2)
     assert Server(configuration.decode(CONFIG), lambda *_, **__: None).limits.connections > 700
 
 
 def test_a_cold_server_with_one_core_still_runs_one_at_a_time():
-    """Six tenths of what it survives while cold is less than one run: nothing was ever started."""
-    s = settings(cores=1, max_concurrency_per_core=1.5, starts_cold=True, cold_start_speed=0.2)
-    m = Model(AdmissionController(s, 1, 0.0), s)
-    m.batch(0.0)
-    out = m.batch(
+    """Guards against a concurrency limit below 1, with which nothing ever starts: six tenths of the runs that
+    this server survives while cold are less than one run."""
+    cold_settings = settings(cores=1, max_concurrency_per_core=1.5, starts_cold=True, cold_start_speed=0.2)
+    model = Model(AdmissionController(cold_settings, 1, 0.0), cold_settings)
+    model.batch(0.0)
+    actions = model.batch(
         0.1,
         interface.Arrived(1, 0, memory=8.0, cost_hint=0.1, time_left=2.9),
         interface.Arrived(2, 0, memory=8.0, cost_hint=0.1, time_left=2.9),
     )
-    assert len([a for a in out if isinstance(a, interface.Start)]) == 1
+    assert len([action for action in actions if isinstance(action, interface.Start)]) == 1
 
 
-def test_names_without_tenants_take_any(tmp_path):
+def test_minimal_settings_have_no_tenants_and_the_default_timeout(tmp_path):
     assert (
-        DecodedSettings(SMALLEST).tenants == {}
-        and DecodedSettings(SMALLEST).settings.workloads[0].timeout == 60.0
+        DecodedSettings(MINIMAL_SETTINGS).tenants == {}
+        and DecodedSettings(MINIMAL_SETTINGS).settings.workloads[0].timeout == 60.0
     )
 
 
@@ -276,7 +284,9 @@
         st.text(max_size=5),
         st.sampled_from(["success", "booting", "a", "joined", "aGk=", "%%"]),
     ),
-    lambda one: st.one_of(st.lists(one, max_size=3), st.dictionaries(st.text(max_size=3), one, max_size=3)),
+    lambda inner: st.one_of(
+        st.lists(inner, max_size=3), st.dictionaries(st.text(max_size=3), inner, max_size=3)
+    ),
     max_leaves=5,
 )
 NOTICE = st.fixed_dictionaries(
@@ -285,21 +295,21 @@
 )
 
 
-@QUICK
+@HYPOTHESIS_SETTINGS
 @given(st.lists(st.one_of(NOTICE, JSON), max_size=4), st.integers(1, 40))
-def test_any_line_of_the_executor_is_a_value_that_can_be_counted_with(messages, step):
-    data = b"".join(json.dumps(m).encode() + b"\n" for m in messages)
-    decoder, got = executor_protocol.LineDecoder(), []
-    for at in range(0, len(data), step):
-        got += decoder.feed(data[at : at + step])
-        while got and isinstance(got[-1], executor_protocol.Malformed) and decoder.pass_over():
+def test_any_line_of_the_executor_is_a_value_within_bounds(messages, step):
+    data = b"".join(json.dumps(message).encode() + b"\n" for message in messages)
+    decoder, notices = executor_protocol.LineDecoder(), []
+    for start in range(0, len(data), step):
+        notices += decoder.feed(data[start : start + step])
+        while notices and isinstance(notices[-1], executor_protocol.Malformed) and decoder.pass_over():
             more = decoder.feed(b"")
             if not more:
                 break
-            got += more
-    assert len(got) == len(messages) and len(decoder.held) <= executor_protocol.LONGEST
-    for one in got:
-        for name, value in one._asdict().items():
+            notices += more
+    assert len(notices) == len(messages) and len(decoder.buffer) <= executor_protocol.MAX_LINE_BYTES
+    for notice in notices:
+        for name, value in notice._asdict().items():
             if name in ("duration", "age"):
                 assert 0 <= value < 1e11
             elif name == "number":
@@ -307,21 +317,21 @@
             elif name in ("call", "token"):
                 assert value is None or isinstance(value, str)
             elif name == "values":
-                assert all(v is None or abs(v) < float("inf") for v in value)
+                assert all(number is None or abs(number) < float("inf") for number in value)
 
 
-@QUICK
+@HYPOTHESIS_SETTINGS
 @given(st.binary(max_size=400), st.integers(1, 60))
-def test_any_bytes_from_a_gateway_are_values_and_held_within_bounds(data, step):
+def test_any_bytes_from_a_gateway_are_values_and_buffered_within_bounds(data, step):
     decoder = frames.FrameDecoder()
     prefix = frame(7, 1, b"\x01\x02op\x03\x00abc")
-    for at in range(0, len(prefix + data), step):
-        for one in decoder.feed((prefix + data)[at : at + step]):
-            assert isinstance(one, tuple)
-        assert len(decoder.held) <= frames.KEPT + 60
+    for start in range(0, len(prefix + data), step):
+        for message in decoder.feed((prefix + data)[start : start + step]):
+            assert isinstance(message, tuple)
+        assert len(decoder.buffer) <= frames.MAX_BUFFERED_BYTES + 60
 
 
-STATUS = [b"HTTP/1.1 200 OK\r\n", b"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 204 No\r\n", b"HTTP/1.0 503\r\n"]
+STATUS_LINES = [b"HTTP/1.1 200 OK\r\n", b"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 204 No\r\n", b"HTTP/1.0 503\r\n"]
 HEADERS = [
     b"Content-Length: 3\r\n",
     b"content-length: +3\r\n",
@@ -331,20 +341,20 @@
     b"X-Untouched: 1\r\n",
 ]
 BODIES = [b"\r\nabc", b"\r\n3\r\nabc\r\n0\r\n\r\n", b"\r\nfffffffff\r\n", b"\r\n-1\r\n", b"abc"]
-REPLY = st.tuples(
-    st.sampled_from(STATUS),
+RESPONSE = st.tuples(
+    st.sampled_from(STATUS_LINES),
     st.lists(st.sampled_from(HEADERS), max_size=3).map(b"".join),
     st.sampled_from(BODIES),
 ).map(b"".join)
 
 
-@QUICK
-@given(st.one_of(st.binary(max_size=200), REPLY), st.integers(1, 60))
-def test_any_answer_over_http_is_a_value(data, step):
+@HYPOTHESIS_SETTINGS
+@given(st.one_of(st.binary(max_size=200), RESPONSE), st.integers(1, 60))
+def test_any_http_response_is_a_value(data, step):
     decoder = http.ResponseDecoder()
-    for at in range(0, len(data), step):
-        got = decoder.feed(data[at : at + step])
-        if got is not None:
-            assert isinstance(got, (http.Response, http.Malformed))
+    for start in range(0, len(data), step):
+        result = decoder.feed(data[start : start + step])
+        if result is not None:
+            assert isinstance(result, (http.Response, http.Malformed))
             return
     assert isinstance(decoder.end(), (http.Response, http.Malformed))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -350,11 +350,11 @@
         self.answers.append((stream, frames.DELIVERED, result))
 
     def turn_back(self, stream, load, retry_in=0.0, final=False):
-        self.answers.append((stream, frames.TURNED_BACK, b""))
+        self.answers.append((stream, frames.REJECTED, b""))
         self.retry_in = retry_in
 
     def write_off(self, stream, load):
-        self.answers.append((stream, frames.WRITTEN_OFF, b""))
+        self.answers.append((stream, frames.FAILED, b""))
 
     def tell_health(self, stream, load, good):
         self.answers.append((stream, int(good), b""))
--- a/tests/protocol/test_protocol.py
+++ b/tests/protocol/test_protocol.py
@@ -1,4 +1,4 @@
-"""The parsers, on bytes alone: every split, round trips, bounds, malformed input."""
+"""The protocols' decoders and encoders on bytes: every split, round trips, bounds, malformed input."""
 
 import json
 import random
@@ -10,13 +10,13 @@
 
 
 def feed_in_pieces(decoder, data, cuts):
-    out, edges = [], [0, *sorted(cuts), len(data)]
+    messages, edges = [], [0, *sorted(cuts), len(data)]
     for start, end in zip(edges, edges[1:]):
-        out += decoder.feed(data[start:end])
-    return out
+        messages += decoder.feed(data[start:end])
+    return messages
 
 
-def test_frames_come_out_the_same_in_every_split():
+def test_frames_decode_the_same_however_they_are_split():
     data = (
         submission(1, body=b"\x00\xff body")
         + frame(9, 1)
@@ -24,7 +24,7 @@
         + submission(7)
     )
     whole = frames.FrameDecoder().feed(data)
-    assert [type(m) for m in whole] == [
+    assert [type(message) for message in whole] == [
         frames.Submission,
         frames.CancelRequest,
         frames.HealthCheckRequest,
@@ -36,9 +36,9 @@
     assert feed_in_pieces(frames.FrameDecoder(), data, range(len(data))) == whole
 
 
-def test_a_submission_is_decoded_to_our_units():
-    (got,) = frames.FrameDecoder().feed(submission(3, rank="0.625", body=b"b"))
-    assert got == frames.Submission(
+def test_a_submission_is_decoded_to_seconds():
+    (decoded,) = frames.FrameDecoder().feed(submission(3, rank="0.625", body=b"b"))
+    assert decoded == frames.Submission(
         3,
         "9b1f03aa5c7e2d41",
         "quote",
@@ -73,7 +73,7 @@
         ({"body": b"x" * 2049}, "body too long"),
     ],
 )
-def test_a_field_that_cannot_be_read_spares_the_connection(changes, reason):
+def test_an_invalid_field_does_not_break_the_connection(changes, reason):
     bad, good = frames.FrameDecoder().feed(submission(5, **changes) + submission(6))
     assert isinstance(bad, frames.InvalidSubmission) and bad.stream == 5 and reason in bad.reason
     assert isinstance(good, frames.Submission)
@@ -93,46 +93,46 @@
         submission(0),
     ],
 )
-def test_what_does_not_add_up_breaks_the_connection_and_nothing_after_it_is_read(data):
+def test_after_a_protocol_violation_nothing_more_is_decoded(data):
     decoder = frames.FrameDecoder()
-    got = decoder.feed(submission(1) + data + submission(2))
-    assert [type(m) for m in got] == [frames.Submission, frames.ProtocolViolation]
+    decoded = decoder.feed(submission(1) + data + submission(2))
+    assert [type(message) for message in decoded] == [frames.Submission, frames.ProtocolViolation]
     assert decoder.feed(submission(3)) == []
 
 
-def test_a_large_frame_is_passed_over_without_being_held():
+def test_a_large_frame_is_skipped_without_being_buffered():
     large = submission(1, body=b"x" * 200000)
     data = large + submission(2) + submission(3, body=b"y" * 20000) + submission(4)
     for size in (1000, 65536, len(data)):
-        decoder, got = frames.FrameDecoder(), []
+        decoder, decoded = frames.FrameDecoder(), []
         for start in range(0, len(data), size):
-            got += decoder.feed(data[start : start + size])
-            assert len(decoder.held) <= frames.KEPT
-        assert [type(m) for m in got] == [frames.InvalidSubmission, frames.Submission] * 2
-        assert [m.stream for m in got] == [1, 2, 3, 4]
-    got = frames.FrameDecoder().feed(frame(9, 1, b"x" * 20000) + submission(2))
-    assert [type(m) for m in got] == [frames.ProtocolViolation]
+            decoded += decoder.feed(data[start : start + size])
+            assert len(decoder.buffer) <= frames.MAX_BUFFERED_BYTES
+        assert [type(message) for message in decoded] == [frames.InvalidSubmission, frames.Submission] * 2
+        assert [message.stream for message in decoded] == [1, 2, 3, 4]
+    decoded = frames.FrameDecoder().feed(frame(9, 1, b"x" * 20000) + submission(2))
+    assert [type(message) for message in decoded] == [frames.ProtocolViolation]
 
 
-def test_random_bytes_never_raise_and_are_held_within_one_frame():
-    chance = random.Random(5)
+def test_corrupted_frames_never_raise_and_at_most_one_frame_is_buffered():
+    random_source = random.Random(5)
     for _ in range(300):
         decoder = frames.FrameDecoder()
         data = bytearray(submission(1) + submission(2))
-        for _ in range(chance.randrange(1, 6)):
-            data[chance.randrange(len(data))] = chance.randrange(256)
-        for m in decoder.feed(bytes(data)):
-            assert type(m) in (
+        for _ in range(random_source.randrange(1, 6)):
+            data[random_source.randrange(len(data))] = random_source.randrange(256)
+        for message in decoder.feed(bytes(data)):
+            assert type(message) in (
                 frames.Submission,
                 frames.InvalidSubmission,
                 frames.CancelRequest,
                 frames.HealthCheckRequest,
                 frames.ProtocolViolation,
             )
-        assert len(decoder.held) <= frames.MOST + 4
+        assert len(decoder.buffer) <= frames.MAX_FRAME_LENGTH + 4
 
 
-def test_answers_have_the_bytes_of_the_page():
+def test_answers_have_the_bytes_of_the_specification():
     assert frames.rejected(3, 0.25, True, 0.5) == frame(
         8, 3, b"\x00\x03\x04load\x06\x000.5000\x08pushback\x03\x00250\x04stop\x01\x001"
     )
@@ -149,7 +149,7 @@
 )
 
 
-def test_notices_come_out_the_same_in_every_split():
+def test_notices_decode_the_same_however_they_are_split():
     whole = executor.LineDecoder().feed(LINES)
     assert whole == [
         executor.JoinAccepted(True, 1.5),
@@ -178,10 +178,10 @@
         b"[" * 60000 + b"\n",
     ],
 )
-def test_a_malformed_line_ends_the_link(line):
+def test_after_a_malformed_line_no_notice_is_decoded(line):
     decoder = executor.LineDecoder()
-    got = decoder.feed(line + LINES)
-    assert len(got) == 1 and isinstance(got[0], executor.Malformed) and decoder.feed(LINES) == []
+    decoded = decoder.feed(line + LINES)
+    assert len(decoded) == 1 and isinstance(decoded[0], executor.Malformed) and decoder.feed(LINES) == []
 
 
 def test_commands_are_lines_of_json_with_the_body_in_base64():
@@ -195,7 +195,7 @@
     assert executor.join(0).endswith(b"\n") and executor.join(0).count(b"\n") == 1
 
 
-ANSWERS = {
+RESPONSES = {
     "sized": (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nX-Untouched: 1\r\n\r\nabc", 200, b"abc", True),
     "none": (b"HTTP/1.1 204 No Content\r\n\r\n", 204, b"", True),
     "chunked": (
@@ -210,17 +210,17 @@
 }
 
 
-@pytest.mark.parametrize("name", ANSWERS)
-def test_answers_come_out_the_same_in_every_split(name):
-    data, status, body, keep = ANSWERS[name]
+@pytest.mark.parametrize("name", RESPONSES)
+def test_responses_decode_the_same_however_they_are_split(name):
+    data, status, body, keep_alive = RESPONSES[name]
     for cut in range(len(data)):
         decoder = http.ResponseDecoder()
         early = decoder.feed(data[:cut])
-        got = early or decoder.feed(data[cut:])
-        assert (got.status, got.body, got.keep_alive) == (status, body, keep), cut
+        decoded = early or decoder.feed(data[cut:])
+        assert (decoded.status, decoded.body, decoded.keep_alive) == (status, body, keep_alive), cut
 
 
-def test_an_answer_without_length_ends_with_its_connection():
+def test_a_response_without_a_length_ends_with_its_connection():
     decoder = http.ResponseDecoder()
     assert decoder.feed(b"HTTP/1.1 200 OK\r\n\r\nab") is None
     assert decoder.end()[2:] == (b"ab", False)
@@ -242,17 +242,17 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n",
     ],
 )
-def test_malformed_http_is_a_value(data):
+def test_malformed_http_is_returned_as_a_value(data):
     assert isinstance(http.ResponseDecoder().feed(data), http.Malformed)
 
 
-def test_a_request_has_host_and_length():
+def test_a_request_has_a_host_and_a_content_length():
     assert http.request("POST", "/post", "h:1", [("X-Txn-Ref", "a")], b"hi") == (
         b"POST /post HTTP/1.1\r\nHost: h:1\r\nX-Txn-Ref: a\r\nContent-Length: 2\r\n\r\nhi"
     )
 
 
-def test_a_command_that_nobody_ever_sent_is_counted_under_one_name():
+def test_rejections_of_unknown_commands_share_one_name():
     words = (b'"KILL"', b'"odd"', b'["x"]', b"null")
-    told = [executor.notice(b'{"t":"BAD","status":%s}' % word) for word in words]
-    assert [notice.command for notice in told] == ["KILL", "other", "other", "other"]
+    notices = [executor.decode_notice(b'{"t":"BAD","status":%s}' % word) for word in words]
+    assert [notice.command for notice in notices] == ["KILL", "other", "other", "other"]
--- a/tests/simulator_adapter/test_simulator_adapter.py
+++ b/tests/simulator_adapter/test_simulator_adapter.py
@@ -1,3 +1,5 @@
+"""The simulator adapter as a process: batches of JSON lines in, replies out."""
+
 import json
 import subprocess
 import sys
@@ -25,13 +27,14 @@
 }
 
 
-def talk(*lines):
-    text = "\n".join(x if isinstance(x, str) else json.dumps(x) for x in lines) + "\n"
+def exchange(*lines):
+    """Send lines (text, or messages to encode) to an adapter process; return the replies and its stderr."""
+    text = "\n".join(line if isinstance(line, str) else json.dumps(line) for line in lines) + "\n"
     command = [sys.executable, "-m", "valeturn.simulator_adapter"]
-    done = subprocess.run(command, input=text, capture_output=True, text=True, timeout=30)
-    assert done.returncode == 0
+    process = subprocess.run(command, input=text, capture_output=True, text=True, timeout=30)
+    assert process.returncode == 0
     replies, batch = [], []
-    for line in done.stdout.splitlines():
+    for line in process.stdout.splitlines():
         message = json.loads(line)
         if message == ["DONE"]:
             replies.append(batch)
@@ -39,15 +42,15 @@
         else:
             batch.append(message)
     assert batch == []
-    return replies, done.stderr
+    return replies, process.stderr
 
 
-def request(i, rid, name="read"):
-    return ["REQUEST", i, rid, 1.0, None, 0.5, 1, name, None, 3, 10.0, None, None, 100.0]
+def request(instance, request_id, workload="read"):
+    return ["REQUEST", instance, request_id, 1.0, None, 0.5, 1, workload, None, 3, 10.0, None, None, 100.0]
 
 
-def test_two_instances_answer_apart_and_input_end_is_a_clean_exit():
-    replies, said = talk(
+def test_instances_are_independent_and_the_end_of_input_is_a_clean_exit():
+    replies, errors = exchange(
         ["SYNC", 0.0],
         ["UP", 0, 7, PROFILE],
         ["UP", 1, 8, PROFILE],
@@ -65,14 +68,14 @@
         ["UP", 1, 9, PROFILE],
         ["YOUR_TURN"],
     )
-    assert [["READINESS", i, True, True] in replies[0] for i in (0, 1)] == [True, True]
+    assert [["READINESS", instance, True, True] in replies[0] for instance in (0, 1)] == [True, True]
     assert replies[1] == [["TAKE", 0, 11], ["TAKE", 1, 12]]
     assert replies[2] == [["WAKE_AT", 0, 100.0, 0]]
-    assert ["READINESS", 1, True, True] in replies[3] and said == ""
+    assert ["READINESS", 1, True, True] in replies[3] and errors == ""
 
 
-def test_bad_input_gets_a_plain_message_and_broken_where_an_instance_is_named():
-    replies, said = talk(
+def test_malformed_input_is_reported_on_stderr_and_as_broken_where_it_names_an_instance():
+    replies, errors = exchange(
         ["SYNC", 0.0],
         ["UP", 0, 7, PROFILE],
         ["YOUR_TURN"],
@@ -82,5 +85,5 @@
         ["MYSTERY", 0],
         ["YOUR_TURN"],
     )
-    assert [m[0] for m in replies[1]] == ["BROKEN"]
-    assert "malformed line" in said and "unknown message 'MYSTERY'" in said
+    assert [message[0] for message in replies[1]] == ["BROKEN"]
+    assert "malformed line" in errors and "unknown message 'MYSTERY'" in errors
--- a/valeturn/admission/__init__.py
+++ b/valeturn/admission/__init__.py
@@ -1,5 +1,5 @@
-"""Decides for every request whether, when and how it runs; no I/O.
+"""Decides for every submission whether, when and how it runs. Performs no I/O and reads no clock.
 
-`controller` decides, `interface` has the events, actions and settings it is called with, `settings` decodes
+`interface` defines the settings, events and actions, `controller` makes the decisions, and `settings` decodes
 the settings from the configuration.
 """
--- a/valeturn/admission/interface.py
+++ b/valeturn/admission/interface.py
@@ -1,6 +1,14 @@
-"""What the decision module is told and what it answers: types only.
+"""The contract of the decision module: the settings, events and actions of `AdmissionController`; types only.
 
-Times are seconds with fractions, memory is in kilobytes, ids are whatever the front uses.
+The host (the dispatcher of a server, or the simulator adapter) constructs the controller with `Settings`,
+passes it the events of each moment, in order, and carries out the actions that it returns, in order.
+
+A submission is one attempt of a caller to have one piece of work of a workload done. Its `id` is a number
+that the host chooses; events and actions refer to it. A run is one execution of a submission by the executor.
+A run may wait at a point where it needs a call on the dependency that all servers share.
+
+Durations are in seconds with fractions and memory is in kilobytes. Workloads and tenants are referred to by
+their indices in the settings.
 """
 
 from __future__ import annotations
@@ -10,216 +18,276 @@
 
 
 class Effect(Enum):
+    """What it means for the work of a workload to run more than once."""
+
     IDEMPOTENT = "may run again"
-    DEDUPLICATED = "repeats are known by a mark"
-    UNREPEATABLE = "must never run twice"
+    DEDUPLICATED = "must not run twice; repeats are recognized by their idempotency key"
+    UNREPEATABLE = "must never run twice"  # and repeats cannot be recognized
 
 
 class Interruption(Enum):
-    UNSUPPORTED = "work cannot be stopped"
-    CANCEL = "stopped work is lost"
-    SUSPEND = "stopped work can go on later"
+    """What the executor can do with a run that is to stop before its end."""
+
+    UNSUPPORTED = "a run cannot be stopped"
+    CANCEL = "a stopped run loses its progress"
+    SUSPEND = "a stopped run can be resumed later"
 
 
 class LoadAdvertisement(Enum):
-    DISABLED = "there is no free value"
+    """How callers interpret the value of `AdvertiseLoad`, which accompanies every answer."""
+
+    DISABLED = "no value is advertised"
     LEVEL = "callers send nothing ranked below the value"
-    CREDIT = "callers keep at most that many submissions out"
-    WEIGHT = "chance that a caller does not skip this server"
+    CREDIT = "callers keep at most that many submissions open at this server"
+    WEIGHT = "probability that a caller does not skip this server"
 
 
 class Outcome(Enum):
+    """How a run or a call on the dependency ended. The member names are part of counter names."""
+
     DONE = "succeeded"
     ERROR = "failed, or may have had its effect"
-    REFUSED = "turned back unseen"
-    TIMED_OUT = "given up, may have had its effect"
-    UNREACHED = "never got there"
-    RESET = "cut off, may have had its effect"
+    REFUSED = "rejected before any processing"
+    TIMED_OUT = "timed out, may have had its effect"
+    UNREACHED = "the peer was not reached"
+    RESET = "connection lost, may have had its effect"
     CANCELLED = "stopped"
     MOOT = "was over before it started"
-    UNSTORED = "never begun, as it could not be noted down first"
+    UNSTORED = "not started, as the intent to run it could not be stored first"
 
 
 class Workload(NamedTuple):
-    name: str
-    effect: Effect
-    latency_objective: float
-    timeout: float
-    value: float
+    """A kind of work that callers submit, with its time limits and its value."""
+
+    name: str  # as submissions give it
+    effect: Effect  # whether its work may run more than once
+    latency_objective: float  # seconds after reaching the machine within which an answer has its full value
+    timeout: float  # seconds after reaching the machine when the caller gives up, unless the submission says
+    value: float  # of an answer within the latency objective; the unit is the same for all workloads
     late_value_share: float = 0.0  # of the value, for an answer between latency objective and timeout
-    objective_stretch: float = 0.0  # the goal grows by this many times the submission's own work
-    deduplication_window: float = 0.0  # how long repeats of a deduplicated submission may come
-    makes_call: bool = False
-    degraded_value_share: float = 0.0  # of the value, for an answer made without the call
+    objective_stretch: float = 0.0  # the objective is extended by this many times the submission's own work
+    deduplication_window: float = 0.0  # seconds in which repeats of a deduplicated submission may arrive
+    makes_call: bool = False  # its runs call the shared dependency
+    degraded_value_share: float = 0.0  # of the value, for an answer made without the call; 0: not possible
 
 
 class Tenant(NamedTuple):
-    name: str
+    """A customer on whose behalf callers submit work."""
+
+    name: str  # as submissions give it
     allowance: float  # submissions per second, over all servers
 
 
 class Settings(NamedTuple):
-    workloads: tuple[Workload, ...]
-    tenants: tuple[Tenant, ...] = ()
-    servers: int = 1
-    cores: int = 1
-    memory: float = float("inf")
-    run_memory_factor: float = 1.0
-    key_memory: float = 0.0
-    interruption: Interruption = Interruption.UNSUPPORTED
-    load_advertisement: LoadAdvertisement = LoadAdvertisement.DISABLED
-    tick: float = 0.0
-    answer_slack: float = 0.0
-    drain_grace: float = 0.0
-    max_concurrency_per_core: float = 1.0  # running submissions a core that a warm server survives
-    starts_cold: bool = False
-    cold_start_speed: float = 1.0  # least share of its speed at a cold start
-    warm_up_time: float = 0.0
-    call_quota: float = float("inf")
-    call_quota_window: float = 0.0
-    call_linger: float = 0.0
-    result_lifetime: float = 0.0
-    max_retry_after: float = 0.0
-    value_per_unit_of_work: bool = False  # value counts per unit of work
-    over_allowance_value: float = 1.0
+    """The fixed properties of a deployment and of one server in it."""
+
+    workloads: tuple[Workload, ...]  # events refer to them by index
+    tenants: tuple[Tenant, ...] = ()  # events refer to them by index
+    servers: int = 1  # in the fleet; each counts on an equal part of a tenant's allowance
+    cores: int = 1  # of this server
+    memory: float = float("inf")  # kilobytes that submissions and stored keys may take together
+    run_memory_factor: float = 1.0  # memory of a started submission, as a multiple of what it took queued
+    key_memory: float = 0.0  # kilobytes that each stored key takes
+    interruption: Interruption = Interruption.UNSUPPORTED  # what the executor can do with a started run
+    load_advertisement: LoadAdvertisement = LoadAdvertisement.DISABLED  # what callers do with the load value
+    tick: float = 0.0  # seconds between two moments at which the host can act: deadlines allow for it
+    answer_slack: float = 0.0  # seconds after a submission's timeout in which an answer still counts
+    drain_grace: float = 0.0  # seconds after DrainStarted: what reaches the machine later must not be started
+    max_concurrency_per_core: float = 1.0  # running submissions per core that a warm server survives
+    starts_cold: bool = False  # the server is slow at first and speeds up over the warm-up time
+    cold_start_speed: float = 1.0  # least share of the full speed right after a cold start
+    warm_up_time: float = 0.0  # seconds from a cold start to full speed
+    call_quota: float = float("inf")  # calls of this server at the dependency at once, on average
+    call_quota_window: float = 0.0  # seconds over which that average is taken
+    call_linger: float = 0.0  # seconds for which a call that was given up still counts against the quota
+    result_lifetime: float = 0.0  # seconds for which an idempotent result may answer repeats; 0: never
+    max_retry_after: float = 0.0  # seconds; the longest delay that a rejection may ask for, 0: none
+    value_per_unit_of_work: bool = False  # a workload's value counts for each unit of work, not each answer
+    over_allowance_value: float = 1.0  # factor on the value of what a tenant sends beyond its allowance
 
 
 class Gauges(NamedTuple):
-    busy: float | None = None  # share of the cores in use lately
-    runnable: float | None = None  # all that wants a core now
-    memory: float | None = None
-    connections: float | None = None
+    """Measurements of the server; None where there is no such gauge, or its reading is too old."""
+
+    busy: float | None = None  # share of the cores in use, a mean over the recent past
+    runnable: float | None = None  # tasks that run or wait for a core right now
+    memory: float | None = None  # share of the memory in use
+    connections: float | None = None  # open connections
 
 
 # Events
 
 
 class Arrived(NamedTuple):
-    id: int
+    """A submission has been read. It is owed one final answer, unless its caller goes first."""
+
+    id: int  # the new submission; a number not used before
     workload: int  # index into the settings
-    tenant: int | None = None
-    waited: float = 0.0  # since it reached the machine
-    rank: float = 0.0
-    is_retry: bool = False
-    subject: str | None = None
-    caller: int = 0
-    memory: float = 0.0
-    time_left: float | None = None  # until its caller gives up
-    duplicate_of: int | None = None
-    cost_hint: float | None = None
-    deduplication_ready_in: float = 0.0  # until a repeat of it could be told apart; 0: now
+    tenant: int | None = None  # index into the settings; None: none that the settings list
+    waited: float = 0.0  # seconds since it reached the machine
+    rank: float = 0.0  # importance, from 0 up to but not including 1
+    is_retry: bool = False  # the caller has submitted the same work before
+    subject: str | None = None  # record that the work reads or changes, where the submission names it
+    caller: int = 0  # number of the caller
+    memory: float = 0.0  # kilobytes that it takes while it is queued
+    time_left: float | None = None  # seconds until its caller gives up; None: the caller does not tell
+    duplicate_of: int | None = None  # id of the submission that it repeats, 0 where only the store knows it
+    cost_hint: float | None = None  # seconds of one core that the caller estimates for the work
+    deduplication_ready_in: float = 0.0  # seconds until its key could be stored; 0: now
 
 
 class Ended(NamedTuple):
-    id: int
-    outcome: Outcome
-    duration: float
+    """A run has ended, or was found not to have started."""
+
+    id: int  # the submission; after CANCELLED it may be started again
+    outcome: Outcome  # how the run ended
+    duration: float  # seconds that the run took, 0 where that is unknown
 
 
 class CallerGone(NamedTuple):
-    id: int
+    """The caller has cancelled the submission or lost its connection: no answer is due any more."""
+
+    id: int  # the submission
 
 
 class CallRequested(NamedTuple):
-    id: int
+    """A run waits for its call on the dependency: `Call` or `BypassCall` lets it go on."""
+
+    id: int  # the submission
 
 
 class CallEnded(NamedTuple):
-    id: int
-    outcome: Outcome
-    duration: float
+    """A call has ended. After an outcome other than DONE the run still waits."""
+
+    id: int  # the submission
+    outcome: Outcome  # how the call ended
+    duration: float  # seconds that the call took
 
 
 class DrainStarted(NamedTuple):
-    time_left: float
+    """The server is about to stop. What is open has to be answered by then."""
+
+    time_left: float  # seconds until the process ends
 
 
 class ServiceReduction(NamedTuple):
-    """What is given up at a level of reduced service. None of it touches what has started."""
+    """What the server gives up at a level of degraded service. What has started is not affected."""
 
-    bypass_call: frozenset = frozenset()  # workloads that go on without their call at once
-    call_timeout_share: float = 1.0  # share of the wait that a call else has
-    within_allowance_only: bool = False  # newcomers of a tenant beyond its share are turned back
-    min_rank: float = 0.0  # and those that rank below
-    rejected_workloads: frozenset = frozenset()  # and those of these workloads
-    exempt_share: float = 0.0  # share of all, from the highest rank down, that none of this touches
+    bypass_call: frozenset = frozenset()  # indices of workloads whose runs go on without their call at once
+    call_timeout_share: float = 1.0  # of the timeout that a call has at normal service
+    within_allowance_only: bool = False  # reject new submissions of a tenant that exceeds its allowance
+    min_rank: float = 0.0  # reject new submissions of a lower rank
+    rejected_workloads: frozenset = frozenset()  # indices of workloads whose new submissions are rejected
+    exempt_share: float = 0.0  # of all submissions, from the highest rank down: none of this applies
 
 
 class LevelChanged(NamedTuple):
-    reduction: ServiceReduction
+    """From now on another level of service applies."""
+
+    reduction: ServiceReduction  # replaces the one before
 
 
 class CallQuotaChanged(NamedTuple):
-    """Calls out that this server may have of all at the dependency, from now on."""
+    """From now on another quota of calls on the dependency applies."""
 
-    quota: float
+    quota: float  # calls of this server at once, on average; replaces `Settings.call_quota`
 
 
 class TimerFired(NamedTuple):
-    timer: int
-    gauges: Gauges
+    """A timer that `SetTimer` set has expired."""
+
+    timer: int  # as given to SetTimer
+    gauges: Gauges  # as measured just before
 
 
 # Actions
 
 
 class Start(NamedTuple):
-    id: int
+    """Start a run of a submission, or resume its suspended run."""
+
+    id: int  # the submission
 
 
 class Interrupt(NamedTuple):
-    id: int
+    """Stop a run, as `Settings.interruption` allows. The host reports `Ended`."""
+
+    id: int  # the submission
 
 
 class Reject(NamedTuple):
-    id: int
-    retry_after: float = 0.0
-    final: bool = False
+    """Answer that the submission was not run, so that the caller may submit it again."""
+
+    id: int  # the submission
+    retry_after: float = 0.0  # seconds for which the caller is asked to avoid this server; 0: not asked to
+    final: bool = False  # the caller should not try another server either
 
 
 class Fail(NamedTuple):
-    id: int
+    """Answer that the submission failed. It may have had its effect."""
+
+    id: int  # the submission
 
 
 class Call(NamedTuple):
-    id: int
-    timeout: float
+    """Make the call on the dependency that a run waits for. The host reports `CallEnded`."""
+
+    id: int  # the submission
+    timeout: float  # seconds after which the call is given up
 
 
 class BypassCall(NamedTuple):
-    id: int
+    """Let a run that waits for its call go on without it, towards a degraded answer."""
+
+    id: int  # the submission
 
 
 class StoreKey(NamedTuple):
-    id: int
-    lifetime: float
+    """Store the submission's key, so that repeats of it are recognized."""
+
+    id: int  # the submission
+    lifetime: float  # seconds for which the key is to be kept
 
 
 class Forget(NamedTuple):
-    id: int
+    """Remove the stored key of a submission that has never run."""
+
+    id: int  # the submission
 
 
 class AnswerFromOriginal(NamedTuple):
-    id: int
+    """Answer a repeat with the result of the submission that it repeats, once there is one."""
+
+    id: int  # the repeat
 
 
 class Health(NamedTuple):
-    healthy: bool
-    shallow: bool
+    """Set how the server answers health checks and is listed in the name service."""
+
+    healthy: bool  # whether the server wants new submissions
+    shallow: bool  # answer deep checks from `healthy` alone, without asking the executor
 
 
 class AdvertiseLoad(NamedTuple):
-    value: float
+    """Set the load value that accompanies answers."""
+
+    value: float  # its meaning depends on `Settings.load_advertisement`
 
 
 class CloseIdleConnections(NamedTuple):
-    idle_time: float
+    """Set how long a connection without open submissions may stay open."""
+
+    idle_time: float  # seconds; 0: without limit
 
 
 class SetTimer(NamedTuple):
-    delay: float
-    timer: int
+    """Ask for a `TimerFired` event."""
+
+    delay: float  # seconds from now
+    timer: int  # returned in the event, to tell timers apart
 
 
 class Trace(NamedTuple):
-    text: str
+    """Write a line to the log."""
+
+    text: str  # the line
--- a/valeturn/protocol/frames.py
+++ b/valeturn/protocol/frames.py
@@ -1,4 +1,10 @@
-"""Gateway frames: length:4 type:1 stream:4 payload, little-endian. Their words stay in this file."""
+"""The protocol with gateways: binary frames, decoded by FrameDecoder and encoded by the functions at the end.
+
+A frame is, little-endian: 4 bytes of length, which count what follows them; 1 byte of type; 4 bytes of
+stream; the payload. The payload of submissions and health checks is: 1 byte of field count; the fields, each
+as 1 byte of name length, the name, 2 bytes of value length, the value; the body. In answers and health frames
+1 byte of code comes first. Other types have no payload. The protocol's field names occur in this file only.
+"""
 
 from __future__ import annotations
 
@@ -8,123 +14,148 @@
 
 from .submission import Submission
 
-LEAST, MOST = 5, 262144  # what a frame's length may be
-KEPT = 4096  # bytes of a frame that are held, a body and all fields: hundreds of connections share the memory
-BODY = 2048  # bytes of a submission's body
-CALL, ANSWER, CANCEL, CHECK, CHECKED, NO_MORE = 7, 8, 9, 1, 2, 3
-DELIVERED, TURNED_BACK, WRITTEN_OFF = 1, 0, 9
-GOOD, NOT_GOOD = 1, 0
-LONGEST = 86_400_000.0  # ms: nobody waits for more than a day of work or a day long
-UNDER_1, UNDER_2000 = 1 - 2**-53, 2000 - 2**-42  # the largest numbers below
-HEX = frozenset("0123456789abcdef")
+MIN_FRAME_LENGTH, MAX_FRAME_LENGTH = 5, 262144  # bytes, as the length field counts: type and stream are 5
+# Bytes of a frame that are buffered: enough for a body and all fields, and no more, as hundreds of
+# connections share the memory.
+MAX_BUFFERED_BYTES = 4096
+MAX_BODY_BYTES = 2048  # of a submission
+# Frame types.
+SUBMISSION, ANSWER, CANCEL, HEALTH_CHECK, HEALTH, NO_MORE = 7, 8, 9, 1, 2, 3
+# Codes of an answer and of a health frame.
+DELIVERED, REJECTED, FAILED = 1, 0, 9
+HEALTHY, UNHEALTHY = 1, 0
+MAX_TIME_MS = 86_400_000.0  # a day: no work takes longer and no caller waits longer
+LARGEST_BELOW_1, LARGEST_BELOW_2000 = (
+    1 - 2**-53,
+    2000 - 2**-42,
+)  # largest floats below the bounds of rank and of memory
+HEX_DIGITS = frozenset("0123456789abcdef")
 HEADER = struct.Struct("<IBI")
-SIZE = struct.Struct("<H")
-PLAIN = re.compile(r"[0-9]{1,16}(\.[0-9]{1,18})?")  # what else `float` reads is no number
+VALUE_LENGTH = struct.Struct("<H")
+PLAIN_NUMBER = re.compile(r"[0-9]{1,16}(\.[0-9]{1,18})?")  # float() also accepts nan, inf, signs and blanks
 
 
 class InvalidSubmission(NamedTuple):
-    """Framed well, but not a submission that can be read: it can be answered on its stream."""
+    """A well-formed frame whose submission is not valid: it can be answered on its stream."""
 
-    stream: int
+    stream: int  # of the connection
     reason: str
 
 
 class CancelRequest(NamedTuple):
-    stream: int
+    """The caller no longer waits for the answer on a stream."""
+
+    stream: int  # of the submission
 
 
 class HealthCheckRequest(NamedTuple):
-    stream: int
-    deep: bool
+    """A health check."""
+
+    stream: int  # the answer carries the same number
+    deep: bool  # the executor is to be checked too
 
 
 class ProtocolViolation(NamedTuple):
-    """Nothing after this can be read on the connection."""
+    """Bytes that are not of the protocol: nothing after them can be decoded on the connection."""
 
-    reason: str
+    reason: str  # its first word is the end of a counter's name
 
 
 class FrameDecoder:
-    """Takes bytes in any split; holds at most one unfinished frame."""
+    """Decodes a stream of frames that may be split anywhere; buffers at most one unfinished frame.
+
+    A submission of more than MAX_BUFFERED_BYTES is skipped while it arrives, and decoded to an
+    InvalidSubmission at its end. After a ProtocolViolation nothing more is returned.
+    """
 
     def __init__(self):
-        self.held, self.broken = bytearray(), False
-        self.passing, self.passed_over = 0, None  # bytes of a large frame still to come; its message then
+        self.buffer, self.failed = bytearray(), False
+        # Bytes of a large frame that are still to be skipped, and the message to return then.
+        self.bytes_to_skip, self.skipped_message = 0, None
 
     def feed(self, data):
-        out, at = [], 0
-        if self.broken:
-            return out
-        if self.passing:
-            data = self.pass_over(data, out)
-        self.held += data
-        while len(self.held) - at >= 4:
-            length = int.from_bytes(self.held[at : at + 4], "little")
-            if not LEAST <= length <= MOST:
-                out.append(ProtocolViolation(f"frame length {length}"))
+        """Take received bytes; return the messages of the frames that are whole."""
+        messages, position = [], 0
+        if self.failed:
+            return messages
+        if self.bytes_to_skip:
+            data = self._skip(data, messages)
+        self.buffer += data
+        while len(self.buffer) - position >= 4:
+            length = int.from_bytes(self.buffer[position : position + 4], "little")
+            if not MIN_FRAME_LENGTH <= length <= MAX_FRAME_LENGTH:
+                messages.append(ProtocolViolation(f"frame length {length}"))
                 break
-            if length > KEPT and len(self.held) - at >= HEADER.size:
-                _, kind, stream = HEADER.unpack_from(self.held, at)
-                if kind != CALL or stream == 0:
-                    out.append(ProtocolViolation(f"frame type {kind} of length {length}"))
+            if length > MAX_BUFFERED_BYTES and len(self.buffer) - position >= HEADER.size:
+                _, kind, stream = HEADER.unpack_from(self.buffer, position)
+                if kind != SUBMISSION or stream == 0:
+                    messages.append(ProtocolViolation(f"frame type {kind} of length {length}"))
                     break
-                self.passing, self.passed_over = 4 + length, InvalidSubmission(stream, "frame too long")
-                rest = self.pass_over(bytes(self.held[at:]), out)
-                at, self.held = 0, bytearray(rest)
+                self.bytes_to_skip, self.skipped_message = (
+                    4 + length,
+                    InvalidSubmission(stream, "frame too long"),
+                )
+                rest = self._skip(bytes(self.buffer[position:]), messages)
+                position, self.buffer = 0, bytearray(rest)
                 continue
-            if len(self.held) - at < 4 + length:
+            if len(self.buffer) - position < 4 + length:
                 break
-            _, kind, stream = HEADER.unpack_from(self.held, at)
-            out.append(_frame(kind, stream, bytes(self.held[at + HEADER.size : at + 4 + length])))
-            at += 4 + length
-            if isinstance(out[-1], ProtocolViolation):
+            _, kind, stream = HEADER.unpack_from(self.buffer, position)
+            messages.append(
+                _decode_frame(
+                    kind, stream, bytes(self.buffer[position + HEADER.size : position + 4 + length])
+                )
+            )
+            position += 4 + length
+            if isinstance(messages[-1], ProtocolViolation):
                 break
-        self.broken = bool(out) and isinstance(out[-1], ProtocolViolation)
-        del self.held[:at]
-        return out
+        self.failed = bool(messages) and isinstance(messages[-1], ProtocolViolation)
+        del self.buffer[:position]
+        return messages
 
     @property
     def unfinished(self):
-        return bool(self.held or self.passing)
+        """Whether a part of a frame has been received."""
+        return bool(self.buffer or self.bytes_to_skip)
 
-    def pass_over(self, data, out):
-        """Drops what belongs to the large frame; returns what comes after it."""
-        taken = min(self.passing, len(data))
-        self.passing -= taken
-        if not self.passing:
-            out.append(self.passed_over)
-        return data[taken:]
+    def _skip(self, data, messages):
+        """Drop what belongs to the large frame, append its message at its end; return what follows it."""
+        skipped = min(self.bytes_to_skip, len(data))
+        self.bytes_to_skip -= skipped
+        if not self.bytes_to_skip:
+            messages.append(self.skipped_message)
+        return data[skipped:]
 
 
-def _frame(kind, stream, payload):
+def _decode_frame(kind, stream, payload):
     if kind == CANCEL:
-        return CancelRequest(stream) if not payload else ProtocolViolation("payload on a withdrawal")
-    if kind not in (CALL, CHECK):
+        return CancelRequest(stream) if not payload else ProtocolViolation("payload on a cancel frame")
+    if kind not in (SUBMISSION, HEALTH_CHECK):
         return ProtocolViolation(f"frame type {kind}")
-    parsed = _fields(payload)
+    parsed = _decode_fields(payload)
     if parsed is None:
-        return ProtocolViolation("fields do not add up")
+        return ProtocolViolation("fields do not match the payload")
     fields, body = parsed
-    if kind == CHECK:
+    if kind == HEALTH_CHECK:
         return HealthCheckRequest(stream, fields.get("e2e") == "1")
     if stream == 0:
         return ProtocolViolation("submission on stream 0")
-    return _submission(stream, fields, body)
+    return _decode_submission(stream, fields, body)
 
 
-def _fields(payload):
-    """The fields and what follows them, or None where they do not add up."""
+def _decode_fields(payload):
+    """Return the fields as a dict and the bytes after them, or None for a malformed payload."""
     if not payload:
         return None
-    fields, at = {}, 1
+    fields, position = {}, 1
     try:
         for _ in range(payload[0]):
-            name = payload[at + 1 : at + 1 + payload[at]]
-            at += 1 + payload[at]
-            (size,) = SIZE.unpack_from(payload, at)
-            value = payload[at + 2 : at + 2 + size]
-            at += 2 + size
-            if at > len(payload):
+            name = payload[position + 1 : position + 1 + payload[position]]
+            position += 1 + payload[position]
+            (size,) = VALUE_LENGTH.unpack_from(payload, position)
+            value = payload[position + 2 : position + 2 + size]
+            position += 2 + size
+            if position > len(payload):
                 return None
             name = name.decode()
             if name in fields:
@@ -132,42 +163,46 @@
             fields[name] = value.decode()
     except (IndexError, struct.error, UnicodeDecodeError):
         return None
-    return fields, payload[at:]
+    return fields, payload[position:]
+
 
+def _number(fields, name, maximum, default=None, minimum=0.0):
+    """Return a field's number, or the default where it is absent; with a default of `...` it is required.
 
-def _number(fields, name, most, absent=None, least=0.0):
-    """A number within its bounds; an absent one is told from one that can't be read."""
+    Raises:
+        ValueError: The field is missing, is not a number or is out of bounds.
+    """
     text = fields.get(name)
-    if text is None and absent is not ...:
-        return absent
+    if text is None and default is not ...:
+        return default
     if text is None:
         raise ValueError(f"{name} is missing")
-    value = float(text) if PLAIN.fullmatch(text) else -1.0
-    if not least <= value <= most:
+    value = float(text) if PLAIN_NUMBER.fullmatch(text) else -1.0
+    if not minimum <= value <= maximum:
         raise ValueError(f"{name} is unreadable")
     return value
 
 
-def _submission(stream, fields, body):
+def _decode_submission(stream, fields, body):
     try:
         call, workload = fields.get("call", ""), fields.get("op", "")
-        if len(call) != 16 or not HEX.issuperset(call):
+        if len(call) != 16 or not HEX_DIGITS.issuperset(call):
             raise ValueError("call is not 16 hex digits")
         if not workload:
             raise ValueError("op is missing")
-        if len(body) > BODY:
+        if len(body) > MAX_BODY_BYTES:
             raise ValueError("body too long")
-        wait, hint = _number(fields, "ttl", LONGEST), _number(fields, "work", LONGEST)
+        timeout_ms, cost_hint_ms = _number(fields, "ttl", MAX_TIME_MS), _number(fields, "work", MAX_TIME_MS)
         return Submission(
             stream,
             call,
             workload,
             fields.get("org"),
             _number(fields, "recv", 1e15, ...) / 1000.0,
-            None if wait is None else wait / 1000.0,
-            None if hint is None else hint / 1000.0,
-            _number(fields, "heap", UNDER_2000, ..., 1e-9),
-            _number(fields, "crit", UNDER_1, 0.0),
+            None if timeout_ms is None else timeout_ms / 1000.0,
+            None if cost_hint_ms is None else cost_hint_ms / 1000.0,
+            _number(fields, "heap", LARGEST_BELOW_2000, ..., 1e-9),
+            _number(fields, "crit", LARGEST_BELOW_1, 0.0),
             int(_number(fields, "src", 2**53, 0.0)),
             fields.get("row"),
             fields.get("dedupe"),
@@ -178,46 +213,61 @@
         return InvalidSubmission(stream, str(error))
 
 
-def _pack(kind, stream, payload):
+def _encode_frame(kind, stream, payload):
     return HEADER.pack(len(payload) + 5, kind, stream) + payload
 
 
-def _coded(kind, stream, code, fields, body=b""):
+def _encode_coded_frame(kind, stream, code, fields, body=b""):
+    """Encode a frame whose payload begins with a code; `fields` are (name, value) pairs of text."""
     parts = [bytes((code, len(fields)))]
     for name, value in fields:
         name, value = name.encode(), value.encode()
-        parts += bytes((len(name),)), name, SIZE.pack(len(value)), value
-    return _pack(kind, stream, b"".join(parts) + body)
+        parts += bytes((len(name),)), name, VALUE_LENGTH.pack(len(value)), value
+    return _encode_frame(kind, stream, b"".join(parts) + body)
 
 
-def _load(load):
+def _load_fields(load):
     return [] if load is None else [("load", f"{load:.4f}")]
 
 
 def delivered(stream, result, load=None):
-    return _coded(ANSWER, stream, DELIVERED, _load(load), result)
+    """Encode the answer that carries a result.
+
+    In all answers `load` is the advertised load value, None where none is advertised.
+    """
+    return _encode_coded_frame(ANSWER, stream, DELIVERED, _load_fields(load), result)
+
 
+def rejected(stream, retry_after=0.0, final=False, load=None):
+    """Encode the answer that the submission was not run.
 
-def rejected(stream, retry_in=0.0, final=False, load=None):
-    fields = _load(load)
-    if retry_in > 0:
-        fields.append(("pushback", str(max(1, round(1000.0 * retry_in)))))
+    Args:
+        retry_after: Seconds for which the caller is asked to avoid this server; 0: it is not asked to.
+        final: Whether the caller should not try another server either.
+    """
+    fields = _load_fields(load)
+    if retry_after > 0:
+        fields.append(("pushback", str(max(1, round(1000.0 * retry_after)))))
     if final:
         fields.append(("stop", "1"))
-    return _coded(ANSWER, stream, TURNED_BACK, fields)
+    return _encode_coded_frame(ANSWER, stream, REJECTED, fields)
 
 
 def failed(stream, load=None):
-    return _coded(ANSWER, stream, WRITTEN_OFF, _load(load))
+    """Encode the answer that the submission failed and may have had its effect."""
+    return _encode_coded_frame(ANSWER, stream, FAILED, _load_fields(load))
 
 
 def connection_error():
-    return _coded(ANSWER, 0, WRITTEN_OFF, [])
+    """Encode the failure on stream 0, which tells the gateway that its whole connection is refused."""
+    return _encode_coded_frame(ANSWER, 0, FAILED, [])
 
 
-def health(stream, good, load=None):
-    return _coded(CHECKED, stream, GOOD if good else NOT_GOOD, _load(load))
+def health(stream, healthy, load=None):
+    """Encode the answer to a health check."""
+    return _encode_coded_frame(HEALTH, stream, HEALTHY if healthy else UNHEALTHY, _load_fields(load))
 
 
 def no_more():
-    return _pack(NO_MORE, 0, b"")
+    """Encode the request that the gateway sends no more submissions on the connection and closes it."""
+    return _encode_frame(NO_MORE, 0, b"")
--- a/valeturn/protocol/http.py
+++ b/valeturn/protocol/http.py
@@ -1,27 +1,34 @@
-"""An HTTP/1.1 client's bytes: a request out, an answer in. Incremental and bounded."""
+"""The client's side of HTTP/1.1: encodes a request, decodes the response incrementally and within bounds."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-MOST_HEAD, MOST_BODY = 16384, 65536  # bytes: the services here answer with a few headers and 4 KiB at most
-# Bytes of an answer with all that may stand round it: a body in chunks of a byte each. Who sends interim
-# answers or trailers without an end would else keep its reader for ever, as it never has to wait.
-MOST = MOST_HEAD + 6 * MOST_BODY
+# Bytes: the ledger and the name service answer with a few headers and a body of 4 KiB at most.
+MAX_HEAD_BYTES, MAX_BODY_BYTES = 16384, 65536
+# Bytes of a response with all its framing; a body in chunks of one byte each takes six bytes for each.
+# Without this bound a peer that sends interim responses or trailers without end would occupy its reader for
+# ever: the reader never has to wait, so that its timeout never expires.
+MAX_RESPONSE_BYTES = MAX_HEAD_BYTES + 6 * MAX_BODY_BYTES
 
 
 class Response(NamedTuple):
-    status: int
-    headers: dict
-    body: bytes
+    """A final response; interim ones are dropped."""
+
+    status: int  # code
+    headers: dict  # values by name in lower case; the last one of a repeated name
+    body: bytes  # without transfer coding
     keep_alive: bool  # the connection may be used again
 
 
 class Malformed(NamedTuple):
+    """Bytes that are not a response, or exceed a bound."""
+
     reason: str
 
 
 def request(method, path, host, headers=(), body=b""):
+    """Encode a request; `host` is HOST:PORT and `headers` are further (name, value) pairs."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in headers]
     lines.append(f"Content-Length: {len(body)}")
@@ -29,54 +36,64 @@
 
 
 class ResponseDecoder:
-    """Of one answer. `feed` returns a Response or a Malformed once there is one, else None; `end` tells it
-    that the other side has closed."""
+    """Decodes one response that may be split anywhere.
+
+    `state` names the part that comes next; the method `_read_<state>` decodes it. Each of these methods
+    returns True where it has decoded its part, None to wait for more bytes, or the Response.
+    """
 
     def __init__(self):
-        self.held, self.head, self.body, self.left, self.form = bytearray(), None, bytearray(), 0, "head"
-        self.taken = 0
+        self.buffer, self.head, self.body, self.bytes_left, self.state = (
+            bytearray(),
+            None,  # (status code, headers, version) once decoded
+            bytearray(),
+            0,  # of the sized body or of the chunk
+            "head",
+        )
+        self.received = 0  # bytes in all
 
     def feed(self, data):
-        self.held += data
-        self.taken += len(data)
+        """Take received bytes; return a Response or a Malformed once there is one, else None."""
+        self.buffer += data
+        self.received += len(data)
         try:
             while True:
-                found = getattr(self, "_" + self.form)()
-                if found is None and self.taken > MOST:
-                    raise ValueError("answer too long")
-                if found is not True:
-                    return found or None
+                result = getattr(self, "_read_" + self.state)()
+                if result is None and self.received > MAX_RESPONSE_BYTES:
+                    raise ValueError("response too long")
+                if result is not True:
+                    return result or None
         except ValueError as error:
             return Malformed(str(error))
 
     def end(self):
-        if self.form == "rest" and self.head is not None:
-            return self._answer(False)
-        return Malformed("closed before the answer was whole")
-
-    # Each form takes what it can: True to go on with the next, None to wait, or the Response.
-
-    def _line(self, most):
-        end = self.held.find(b"\n")
-        if end < 0 and len(self.held) > most or end > most:
+        """Return the result when the peer has closed the connection: a body without a length ends with it."""
+        if self.state == "body_until_close" and self.head is not None:
+            return self._response(False)
+        return Malformed("connection closed before the response was complete")
+
+    def _line(self, maximum):
+        """Remove a line of at most `maximum` bytes from the buffer and return it, or None to wait for it."""
+        end = self.buffer.find(b"\n")
+        if end < 0 and len(self.buffer) > maximum or end > maximum:
             raise ValueError("line too long")
         if end < 0:
             return None
-        line = bytes(self.held[:end]).rstrip(b"\r")
-        del self.held[: end + 1]
+        line = bytes(self.buffer[:end]).rstrip(b"\r")
+        del self.buffer[: end + 1]
         return line.decode("latin-1")
 
-    def _head(self):
-        end = self.held.find(b"\r\n\r\n")
-        if end > MOST_HEAD or end < 0 and len(self.held) > MOST_HEAD:
+    def _read_head(self):
+        end = self.buffer.find(b"\r\n\r\n")
+        if end > MAX_HEAD_BYTES or end < 0 and len(self.buffer) > MAX_HEAD_BYTES:
             raise ValueError("head too long")
         if end < 0:
             return None
-        first, *rest = bytes(self.held[:end]).decode("latin-1").split("\r\n")
-        del self.held[: end + 4]
+        first, *rest = bytes(self.buffer[:end]).decode("latin-1").split("\r\n")
+        del self.buffer[: end + 4]
         version, _, status = first.partition(" ")
         if version not in ("HTTP/1.1", "HTTP/1.0") or not status[:3].isdigit() or status[3:4].strip():
-            raise ValueError("no status line")
+            raise ValueError("invalid status line")
         headers = {}
         for line in rest:
             name, colon, value = line.partition(":")
@@ -84,73 +101,74 @@
                 raise ValueError("header without a name")
             name, value = name.lower(), value.strip()
             if name == "content-length" and headers.get(name, value) != value:
-                raise ValueError("two lengths")
+                raise ValueError("contradictory content lengths")
             headers[name] = value
         code = int(status[:3])
-        if 100 <= code < 200:  # an interim answer: the real one follows
+        if 100 <= code < 200:  # an interim response: the final one follows
             return True
         self.head = code, headers, version
         length = headers.get("content-length")
-        if code in (204, 304):
-            return self._answer()
+        if code in (204, 304):  # never have a body
+            return self._response()
         if "transfer-encoding" in headers:
             if headers["transfer-encoding"].lower() != "chunked":
                 raise ValueError("unknown transfer coding")
-            self.form = "chunk"
+            self.state = "chunk_size"
         elif length is not None:
             if not (length.isascii() and length.isdigit()):
-                raise ValueError("unreadable length")
-            self.left, self.form = int(length), "sized"
-            if self.left > MOST_BODY:
+                raise ValueError("invalid content length")
+            self.bytes_left, self.state = int(length), "sized_body"
+            if self.bytes_left > MAX_BODY_BYTES:
                 raise ValueError("body too long")
         else:
-            self.form = "rest"
+            self.state = "body_until_close"
         return True
 
-    def _sized(self):
-        if len(self.held) < self.left:
+    def _read_sized_body(self):
+        if len(self.buffer) < self.bytes_left:
             return None
-        self.body += self.held[: self.left]
-        del self.held[: self.left]
-        return self._answer()
-
-    def _rest(self):
-        self.body += self.held
-        self.held.clear()
-        if len(self.body) > MOST_BODY:
+        self.body += self.buffer[: self.bytes_left]
+        del self.buffer[: self.bytes_left]
+        return self._response()
+
+    def _read_body_until_close(self):
+        self.body += self.buffer
+        self.buffer.clear()
+        if len(self.body) > MAX_BODY_BYTES:
             raise ValueError("body too long")
 
-    def _chunk(self):
+    def _read_chunk_size(self):
         line = self._line(1024)
         if line is None:
             return None
         size = line.partition(";")[0].strip()
         if not size or not set(size.lower()) <= set("0123456789abcdef"):
-            raise ValueError("unreadable chunk size")
-        self.left = int(size, 16)
-        if len(self.body) + self.left > MOST_BODY:
+            raise ValueError("invalid chunk size")
+        self.bytes_left = int(size, 16)
+        if len(self.body) + self.bytes_left > MAX_BODY_BYTES:
             raise ValueError("body too long")
-        self.form = "piece" if self.left else "trailer"
+        self.state = "chunk_data" if self.bytes_left else "trailer"
         return True
 
-    def _piece(self):
-        if len(self.held) < self.left + 2:
+    def _read_chunk_data(self):
+        if len(self.buffer) < self.bytes_left + 2:
             return None
-        if self.held[self.left : self.left + 2] != b"\r\n":
+        if self.buffer[self.bytes_left : self.bytes_left + 2] != b"\r\n":
             raise ValueError("chunk without its end")
-        self.body += self.held[: self.left]
-        del self.held[: self.left + 2]
-        self.form = "chunk"
+        self.body += self.buffer[: self.bytes_left]
+        del self.buffer[: self.bytes_left + 2]
+        self.state = "chunk_size"
         return True
 
-    def _trailer(self):
+    def _read_trailer(self):
         line = self._line(1024)
         if line is None:
             return None
-        return True if line else self._answer()
+        return True if line else self._response()
 
-    def _answer(self, sized=True):
+    def _response(self, delimited=True):
+        """Build the Response; `delimited` is False where only the end of the connection ended it."""
         code, headers, version = self.head
-        wish = headers.get("connection", "" if version == "HTTP/1.1" else "close").lower()
-        keep = sized and "close" not in wish and not self.held
-        return Response(code, headers, bytes(self.body), keep)
+        connection = headers.get("connection", "" if version == "HTTP/1.1" else "close").lower()
+        keep_alive = delimited and "close" not in connection and not self.buffer
+        return Response(code, headers, bytes(self.body), keep_alive)
--- a/valeturn/protocol/submission.py
+++ b/valeturn/protocol/submission.py
@@ -1,4 +1,4 @@
-"""A submission as all fronts hand it on."""
+"""The decoded form of a submission."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class Submission(NamedTuple):
-    """What any front decodes a submission to; `stream` is where the front wants its answer."""
+    """A submission as a gateway's connection carries it, decoded to seconds."""
 
-    stream: int
-    call_id: str
-    workload: str
-    tenant: str | None
-    arrived_at: float  # Unix seconds
-    timeout: float | None  # how long from then its caller waits
-    cost_hint: float | None
-    memory: float
-    rank: float
-    caller: int
-    subject: str | None
-    idempotency_key: str | None
-    is_retry: bool
-    body: bytes
+    stream: int  # of the connection: the answer carries the same number
+    call_id: str  # 16 hex digits that identify the submission on all connections
+    workload: str  # name
+    tenant: str | None  # name
+    arrived_at: float  # Unix time in seconds when it reached the machine
+    timeout: float | None  # seconds from arrived_at until its caller gives up
+    cost_hint: float | None  # seconds of one core that the caller estimates for the work
+    memory: float  # kilobytes that it takes while it is queued
+    rank: float  # importance, from 0 up to but not including 1
+    caller: int  # number of the caller
+    subject: str | None  # record that the work reads or changes
+    idempotency_key: str | None  # the same for all repeats of a submission
+    is_retry: bool  # the caller has submitted the same work before
+    body: bytes  # passed to the executor as it is
--- a/valeturn/simulator_adapter/__init__.py
+++ b/valeturn/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts module instances on the bench's wire: JSON lines in, JSON lines out, no decisions."""
+"""Runs admission controllers for the simulator: JSON lines on stdin and stdout; makes no decisions."""
--- a/valeturn/simulator_adapter/__main__.py
+++ b/valeturn/simulator_adapter/__main__.py
@@ -1,3 +1,5 @@
+"""Serves the simulator's protocol on stdin and stdout until the input ends."""
+
 import sys
 
 from .host import serve
