--- a/tests/admission/test_any_settings.py
+++ b/tests/admission/test_any_settings.py
@@ -68,7 +68,7 @@
     batch(interface.DrainStarted(1.0))
     for _ in range(20):
         batch(interface.TimerFired(0, interface.Gauges()))
-    owed = [sub for sub in rules.live.values() if sub.owed]
+    owed = [sub for sub in rules.submissions.values() if sub.awaits_answer]
     assert not owed, "held past the stop"
     return did
 
--- a/tests/admission/test_controller_model.py
+++ b/tests/admission/test_controller_model.py
@@ -1,3 +1,5 @@
+"""Random loads under several settings: the reference model checks each action of the admission controller."""
+
 import random
 
 import pytest
@@ -6,8 +8,10 @@
 from valeturn.admission import interface
 from valeturn.admission.controller import AdmissionController
 
-CALL_ENDS = [one for one in interface.Outcome if one is not interface.Outcome.UNSTORED]  # that is a run's
-CASES = {
+# UNSTORED is an outcome of runs only.
+CALL_OUTCOMES = [outcome for outcome in interface.Outcome if outcome is not interface.Outcome.UNSTORED]
+# The length of a name is part of the seed, so renaming a case changes its load.
+SETTINGS_BY_CASE = {
     "drop": settings(),
     "pause": settings(interruption=interface.Interruption.SUSPEND),
     "no halting": settings(interruption=interface.Interruption.UNSUPPORTED),
@@ -18,71 +22,85 @@
 }
 
 
-@pytest.mark.parametrize("case", CASES)
+@pytest.mark.parametrize("case", SETTINGS_BY_CASE)
 @pytest.mark.parametrize("seed", range(6))
-def test_module_and_model_agree(case, seed):
-    chance, s = random.Random(seed * 1000 + len(case)), CASES[case]
-    model, now, number, hung = Model(AdmissionController(s, seed, 0.0), s), 0.0, 0, chance.random() < 0.3
-    leave_at = chance.choice((None, 6.0))
-    kinds = {"start": 0, "turned back": 0}
+def test_controller_does_only_what_the_model_allows(case, seed):
+    random_source, case_settings = random.Random(seed * 1000 + len(case)), SETTINGS_BY_CASE[case]
+    model, now, number, hung = (
+        Model(AdmissionController(case_settings, seed, 0.0), case_settings),
+        0.0,
+        0,
+        random_source.random() < 0.3,
+    )
+    leave_at = random_source.choice((None, 6.0))
+    action_counts = {"start": 0, "reject": 0}
     while now < 16.0:
-        now = round(now + s.tick * chance.choice((1, 1, 2, 4)), 6)
+        now = round(now + case_settings.tick * random_source.choice((1, 1, 2, 4)), 6)
         model.now, events = now, []
         if leave_at is not None and now >= leave_at and model.leave is None:
             events.append(interface.DrainStarted(4.0))
         if model.stop is not None and now >= model.stop:
             break
-        while now < 9.0 and chance.random() < 0.2:
+        while now < 9.0 and random_source.random() < 0.2:
             number += 1
-            workload = chance.randrange(len(s.workloads))
-            key, waited = f"k{chance.randrange(12)}", chance.random() * 0.1
-            same = s.workloads[workload].effect is DEDUPLICATED
+            workload = random_source.randrange(len(case_settings.workloads))
+            key, waited = f"k{random_source.randrange(12)}", random_source.random() * 0.1
+            is_deduplicated = case_settings.workloads[workload].effect is DEDUPLICATED
             events.append(
                 interface.Arrived(
                     id=number,
                     workload=workload,
-                    tenant=chance.randrange(2) if s.tenants else None,
+                    tenant=random_source.randrange(2) if case_settings.tenants else None,
                     waited=waited,
                     subject=key,
-                    caller=chance.randrange(2),
-                    memory=chance.uniform(2, 30),
-                    time_left=chance.choice((None, chance.uniform(0.0, 3.0))),
-                    duplicate_of=model.first_try(key, now - waited) if same else None,
-                    cost_hint=chance.choice((None, chance.uniform(0.01, 2.0))),
-                    deduplication_ready_in=chance.choice((0.0, 0.0, 0.0, 0.3, 9.0)) if same else 0.0,
+                    caller=random_source.randrange(2),
+                    memory=random_source.uniform(2, 30),
+                    time_left=random_source.choice((None, random_source.uniform(0.0, 3.0))),
+                    duplicate_of=model.first_try(key, now - waited) if is_deduplicated else None,
+                    cost_hint=random_source.choice((None, random_source.uniform(0.01, 2.0))),
+                    deduplication_ready_in=random_source.choice((0.0, 0.0, 0.0, 0.3, 9.0))
+                    if is_deduplicated
+                    else 0.0,
                 )
             )
-            if same:  # two tries that come in one batch would know of each other; here one a batch is enough
+            # Two tries in one batch would have to know of each other, so there is one a batch.
+            if is_deduplicated:
                 break
-        for number_of, sub in list(model.subs.items()):
-            at, roll = sub["at"], chance.random()
-            if at == "running" and not sub["owed"] or at == "spent":
-                if sub["fresh"] and roll < 0.3:
-                    events.append(interface.Ended(number_of, interface.Outcome.UNSTORED, 0.0))
+        for submission_id, submission in list(model.subs.items()):
+            state, roll = submission["at"], random_source.random()
+            if state == "running" and not submission["owed"] or state == "spent":
+                if submission["fresh"] and roll < 0.3:
+                    events.append(interface.Ended(submission_id, interface.Outcome.UNSTORED, 0.0))
                 elif roll < 0.1:
-                    events.append(interface.Ended(number_of, interface.Outcome.CANCELLED, 0.1))
-            elif at == "running" and sub["fresh"] and roll < 0.1:
-                events.append(interface.Ended(number_of, interface.Outcome.UNSTORED, 0.0))
-            elif at == "running" and roll < (0.0 if hung and now < 8 else 0.02):
+                    events.append(interface.Ended(submission_id, interface.Outcome.CANCELLED, 0.1))
+            elif state == "running" and submission["fresh"] and roll < 0.1:
+                events.append(interface.Ended(submission_id, interface.Outcome.UNSTORED, 0.0))
+            elif state == "running" and roll < (0.0 if hung and now < 8 else 0.02):
                 events.append(
                     interface.Ended(
-                        number_of, chance.choice((interface.Outcome.DONE, interface.Outcome.ERROR)), 0.2
+                        submission_id,
+                        random_source.choice((interface.Outcome.DONE, interface.Outcome.ERROR)),
+                        0.2,
                     )
                 )
-            elif at == "running" and sub["w"].makes_call and roll < 0.04:
-                events.append(interface.CallRequested(number_of))
-            elif at == "calling" and roll < 0.05:
-                events.append(interface.CallEnded(number_of, chance.choice(CALL_ENDS), 0.1))
-            elif at == "joined" and model.subs[sub["e"].duplicate_of]["at"] == "over":
-                events.append(interface.Ended(number_of, interface.Outcome.DONE, 0.0))
-            elif at != "over" and sub["owed"] and roll > 0.998:
-                events.append(interface.CallerGone(number_of))
-        if any(t <= now for t in model.timers):
+            elif state == "running" and submission["w"].makes_call and roll < 0.04:
+                events.append(interface.CallRequested(submission_id))
+            elif state == "calling" and roll < 0.05:
+                events.append(interface.CallEnded(submission_id, random_source.choice(CALL_OUTCOMES), 0.1))
+            elif state == "joined" and model.subs[submission["e"].duplicate_of]["at"] == "over":
+                events.append(interface.Ended(submission_id, interface.Outcome.DONE, 0.0))
+            elif state != "over" and submission["owed"] and roll > 0.998:
+                events.append(interface.CallerGone(submission_id))
+        if any(fires_at <= now for fires_at in model.timers):
             events.append(
-                interface.TimerFired(0, interface.Gauges(chance.random(), chance.randrange(8), 0.5, 10))
+                interface.TimerFired(
+                    0, interface.Gauges(random_source.random(), random_source.randrange(8), 0.5, 10)
+                )
             )
-        for a in model.batch(now, *events):
-            kinds["start"] += isinstance(a, interface.Start)
-            kinds["turned back"] += isinstance(a, interface.Reject)
-    assert all(not sub["owed"] for sub in model.subs.values()), "lost"
-    assert kinds["start"] > 3
+        for action in model.batch(now, *events):
+            action_counts["start"] += isinstance(action, interface.Start)
+            action_counts["reject"] += isinstance(action, interface.Reject)
+    assert all(not submission["owed"] for submission in model.subs.values()), (
+        "a submission was never answered"
+    )
+    assert action_counts["start"] > 3
--- a/tests/degradation/test_degradation_options.py
+++ b/tests/degradation/test_degradation_options.py
@@ -4,7 +4,7 @@
 from degradation_support import LEVEL, SCHEMAS
 from program_support import CONFIG, changed
 
-from valeturn.admission.controller import MEMORY_RUN
+from valeturn.admission.controller import MAX_RUN_MEMORY_RATIO
 from valeturn.degradation import reachability
 from valeturn.degradation.options import check_deployment
 from valeturn.operator_config import schema
@@ -54,7 +54,7 @@
     reported = [(f.line, f.rule, f.text) for f in faults_of(text)]
     assert [row[:2] for row in reported] == ([] if why is None else [(3, "never-reached")])
     assert why is None or why in reported[0][2]
-    assert reachability.MEMORY_MAXIMUM == MEMORY_RUN
+    assert reachability.MEMORY_MAXIMUM == MAX_RUN_MEMORY_RATIO
 
 
 def test_signals_that_a_deployment_does_not_measure_are_reported():
--- a/tests/digests/admission.py
+++ b/tests/digests/admission.py
@@ -364,18 +364,18 @@
 def figures(rules: AdmissionController) -> list[object]:
     """Return some public figures of the rules' state."""
     return [
-        rules.memory(),
-        rules.on_cores(),
-        rules.crowd(),
-        rules.limit,
-        rules.pace,
-        rules.best,
-        rules.credit,
-        rules.call_time(),
-        rules.least_wait(),
-        rules.level,
-        rules.pressed,
-        len(rules.usual),
+        rules.memory_in_use(),
+        rules.count_on_cores(),
+        rules.max_concurrency(),
+        rules.concurrency_limit,
+        rules.current_speed,
+        rules.baseline_speed,
+        rules.call_budget,
+        rules.expected_call_time(),
+        rules.min_call_timeout(),
+        rules.advertised_load,
+        rules.overloaded,
+        len(rules.usual_timeouts),
     ]
 
 
--- a/tests/lab/test_fleet_trial.py
+++ b/tests/lab/test_fleet_trial.py
@@ -165,8 +165,8 @@
             ],
         )
     sizes = {name: len(value) for name, value in vars(rules).items() if hasattr(value, "__len__")}
-    assert sizes.pop("usual") == rules_module.CALLERS and max(sizes.values()) < 50, sizes
-    assert (7, 1) in rules.usual
+    assert sizes.pop("usual_timeouts") == rules_module.MAX_USUAL_TIMEOUTS and max(sizes.values()) < 50, sizes
+    assert (7, 1) in rules.usual_timeouts
 
 
 def test_ever_new_ids_leave_the_owner_s_tables_empty():
@@ -229,7 +229,7 @@
             out += [
                 interface.Reject(a.id, 0.0, False)
                 for a in out
-                if isinstance(a, interface.Start) and self.live[a.id].workload == 2
+                if isinstance(a, interface.Start) and self.submissions[a.id].workload == 2
             ]
         return out
 
