--- a/tests/admission/test_any_settings.py
+++ b/tests/admission/test_any_settings.py
@@ -75,7 +75,7 @@
     batch(interface.DrainStarted(1.0))
     for _ in range(20):
         batch(interface.TimerFired(0, interface.Gauges()))
-    unanswered = [request for request in controller.live.values() if request.owed]
+    unanswered = [request for request in controller.submissions.values() if request.awaits_answer]
     assert not unanswered, "unanswered at the stop"
     return actions_seen
 
