--- a/valeturn/server/usage.py
+++ b/valeturn/server/usage.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-USAGE = """valeturn: admission and scheduling for servers behind balancers that cannot be changed.
+USAGE = """valeturn: admission control and scheduling for servers behind load balancers.
 
 Usage:
   valeturn
@@ -40,66 +40,70 @@
   valeturn --help
 
 Commands:
-  serve      Serve until SIGTERM, which drains. The same as no command. SIGUSR1 prints the counters.
-             SIGHUP takes new addresses of executor, ledger and name service from the file.
-  check      Read and check a configuration, and say in one line what is wrong with it; with --settings the
-             operator's file too, with a line for each thing that is wrong.
-  store      Of a folder of kept results: what is in it; whether all of it is whole; write it anew without
-             what is over. The server must not be running on it for the last.
-  status     Of running servers, by the control sockets that their operator's files name: level and why, work,
-             answers. `metrics`: the same as Prometheus's text, where [metrics] is on. `level hold` holds a
-             level by hand for a time, logged; `level free` ends that.
-  fleet      Of servers that talk to each other: who is there and who owns what; the owner hands over, takes a
-             voter in or votes one out; a server goes out of the fleet and serves on; one that is left of a
-             majority lost for good goes on alone. `fenced-replace` replaces a file with standard input unless
-             a higher number was there: exit code 3 then.
-  lab        The laboratory: `restarts` kills and restarts a server on loopback and counts effects; `store`
-             measures the store beside plain sqlite3; `levels` plays a load in virtual time, with levels and
-             without; `fleet-days` plays the days that hurt a whole fleet, in virtual time;
-             `owner` lets servers elect one that acts, under a storm of faults; `members` lets so many find
-             and lose each other; both in virtual time.
+  serve      Serve until SIGTERM, then drain and exit. This is the default command. SIGUSR1 logs the counters.
+             SIGHUP reads the addresses of executor, ledger and name service from the file again.
+  check      Check a configuration and print one line about its first error; with --settings check the
+             operator's file too and print one line for each error.
+  store      Work on the directory of a result store: show what it contains, verify it, or rewrite it without
+             expired records. `compact` must not run while a server uses the directory.
+  status     Show the degradation level with its reason, the load and the outcomes of running servers, which
+             are named by their control sockets. `metrics` prints them in Prometheus's text format if
+             [metrics] is configured. `level hold` holds a level manually for a time, `level free` releases
+             it; both are logged.
+  fleet      Show and change the cluster: its members, its owner and its voters. `hand-over` transfers
+             ownership, `admit` and `dismiss` add and remove a voter, `leave` takes a server out of the
+             cluster while it serves on, and `revive` lets one server go on alone after the majority was lost
+             for good. `out`, `back`, `turns`, `hold` and `go-on` request, withdraw, show, pause and resume
+             maintenance. `fenced-replace` replaces a file with standard input unless a higher fencing token
+             was used: then its exit code is 3.
+  lab        Run tests and experiments of the laboratory: `restarts` kills and restarts a server on loopback
+             and counts effects; `store` compares the result store with plain sqlite3; `levels` applies a load
+             in virtual time, with and without degradation levels; `fleet-days` simulates difficult days of a
+             whole fleet in virtual time; `owner` tests the election of an owner under faults; `members` tests
+             whether many servers detect each other's joining and failure, both in virtual time.
   version    Print the version.
 
 Options:
-  --config FILE    The configuration; else the variable EDGE_CONFIG names it.
-  --settings FILE  The operator's own file (deploy/valeturn.ini has all it may hold).
+  --config FILE    The configuration file; EDGE_CONFIG names it if not given.
+  --settings FILE  The operator's file; deploy/valeturn.ini shows all of its keys.
   --verbose        Log each answer with its call, workload, kind and time.
-  --to NAME        The voter that is to be the next owner.
-  --i-know         No server of the lost majority will come back with what it knew.
-  --fence N        The number under which it is done; else VALETURN_FENCE.
-  --no-fences      What the duty touches compares no numbers: to see that the storm does harm then.
-  --json           The whole status, for programs.
-  --for TIME       How long a level is held, such as 5min: a day at the most; of turns: what for.
-  --zone ZONE      All servers of it that are there.
-  --all            All servers that are there.
-  --work TIME      That the work may take; else what [turns] says.
-  --urgent         Before those that are not, within a bound.
-  --wait TIME      Ends once all of them are empty (0), or it was refused (3), or that time is over (4).
-  --kills N        How often the server is killed [default: 50].
-  --seed S         For all chance [default: 1].
-  --lanes L        Servers killed side by side, each with parties of its own [default: 4].
-  --shape NAME     Of load: steady step sine slow-sine mild-sine wild-sine burst
+  --to NAME        The voter that becomes the next owner.
+  --i-know         Confirm that no server of the lost majority will return with its state.
+  --fence N        The fencing token of the replacement; VALETURN_FENCE if not given.
+  --no-fences      Tasks do not check fencing tokens: shows which damage the faults do then.
+  --json           Print the whole status as JSON.
+  --for TIME       How long a level is held, such as 5min, for a day at most; for `out`, the reason as text.
+  --zone ZONE      All live servers of a zone.
+  --all            All live servers.
+  --work TIME      How long the maintenance work may take; [turns] has the default.
+  --urgent         Go ahead of servers that are not urgent, within a limit.
+  --wait TIME      Exit once all servers are empty (0), the request was refused (3) or the time is over (4).
+  --kills N        How many times the server is killed [default: 50].
+  --seed S         Seed of all random numbers [default: 1].
+  --lanes L        Servers tested in parallel, each with its own executor and services [default: 4].
+  --shape NAME     Shape of the load: steady step sine slow-sine mild-sine wild-sine burst
                    slow failing lost lost-tight [default: sine].
-  --minutes M      Of virtual time [default: 10].
-  --servers N      Emulated servers [default: 20].
-  --day NAMES      all, or of calm roll herd zone split join, with commas [default: all].
-  --gateways G     Emulated gateways [default: 10].
-  --seconds T      Of virtual time; of real time with --real [default: 40].
-  --virtual        In virtual time; more than nine servers are whole ones, of which nine vote.
-  --measure        What a fleet costs, and how long it is without an owner.
-  --faults N       How many faults [default: 100].
-  --loss S         Share of messages between servers that never come [default: 0].
+  --minutes M      Virtual time in minutes [default: 10].
+  --servers N      Number of emulated servers [default: 20].
+  --day NAMES      all, or any of calm roll herd zone split join, separated by commas [default: all].
+  --gateways G     Number of emulated gateways [default: 10].
+  --seconds T      Virtual time in seconds; real time with --real [default: 40].
+  --virtual        Run in virtual time; with more than nine servers, nine of them vote.
+  --measure        Measure the cost of a cluster and how long it is without an owner.
+  --faults N       Number of injected faults [default: 100].
+  --loss S         Share of messages between servers that are lost [default: 0].
   --slow S         Share of servers that answer late [default: 0].
   --real           Real servers on loopback, beside the emulator with the same load.
-  --against POLICIES  Played on the same demand: pool, or a file with an earlier module; with commas.
-  --seeds N        How many seeds, from --seed on; of a soak, which: A-B [default: 1].
+  --against POLICIES  Compare with these on the same demand, separated by commas: pool, or a file with an
+                   earlier module.
+  --seeds N        Number of seeds, from --seed on; for `soak` a range A-B [default: 1].
   --report DIR     Write an HTML page with plots there (pip install -r requirements-lab.txt).
-  --keep DIR       Keep the logs and folders there.
-  --keys N         Keys to store [default: 100000].
-  --folder DIR     Where to measure; else a temporary one.
-  -h --help        Show this.
+  --keep DIR       Keep the logs and directories there.
+  --keys N         Number of keys to store [default: 100000].
+  --folder DIR     Directory to measure in; a temporary one if not given.
+  -h --help        Show this text.
 
-EDGE_NAME and EDGE_LISTEN, where set, go before the configuration's name and listen.
-Exit codes: 0 all well, 1 failed while serving, or damage or a broken rule was found, 2 the configuration, the
-operator's file or the command line is wrong, or another process has the store.
+EDGE_NAME and EDGE_LISTEN, if set, override the configuration's name and listen.
+Exit codes: 0 success, 1 a failure while serving, damage found or a rule violated, 2 an error in the
+configuration, the operator's file or the command line, or the store is in use by another process.
 """
