--- a/tests/degradation/test_degradation.py
+++ b/tests/degradation/test_degradation.py
@@ -196,7 +196,10 @@
     for busy, sweeps in ((0.95, 10), (0.2, 80)):
         for _ in range(sweeps):
             ends.now += 0.1
-            ends.dispatcher.runs.gauges, ends.dispatcher.runs.gauged_at = (busy, 0, 1.0, 1), ends.now
+            ends.dispatcher.executions.gauges, ends.dispatcher.executions.gauged_at = (
+                (busy, 0, 1.0, 1),
+                ends.now,
+            )
             ends.turn(messages.DeferredEvent(interface.TimerFired(0, None)), do=[interface.SetTimer(0.0, 0)])
     told = [e.reduction for e in ends.heard if isinstance(e, interface.LevelChanged)]
     on_trial = [
--- a/tests/dispatch/test_deduplication.py
+++ b/tests/dispatch/test_deduplication.py
@@ -52,7 +52,7 @@
         messages.SubmissionReceived(copier, base._replace(stream=2, call_id="1" * 16, body=b"other")),
         do=[interface.StoreKey(1, 8.0), interface.Start(1)],
     )
-    assert codes(copier) == [TURNED_BACK] and list(ends.dispatcher.open) == [1]
+    assert codes(copier) == [TURNED_BACK] and list(ends.dispatcher.pending) == [1]
 
 
 def test_a_made_up_submission_does_not_keep_the_mark_that_it_copied():
@@ -78,17 +78,19 @@
     ends, caller, waiting = Ends(), Caller(), Caller()
     number, _ = ends.arrive("book", caller, do=[lambda n: interface.StoreKey(n, 8.0)], idempotency_key="m")
     ends.arrive("book", waiting, do=[interface.AnswerFromOriginal], idempotency_key="m")
-    stream = ends.dispatcher.open[number].stream
+    stream = ends.dispatcher.pending[number].stream
     ends.turn(messages.SubmissionCancelled(caller, stream), do=[interface.Forget(number)])
     assert (
-        codes(waiting) == [WRITTEN_OFF] and not ends.dispatcher.open and not ends.dispatcher.repeating.joiners
+        codes(waiting) == [WRITTEN_OFF]
+        and not ends.dispatcher.pending
+        and not ends.dispatcher.repeating.joiners
     )
 
 
 @pytest.mark.parametrize("order", ["end first", "repeat first"])
 def test_a_repeat_in_the_turn_in_which_the_run_ends_has_its_result(order):
     ends, caller, again = Ends(), Caller(), Caller()
-    ends.dispatcher.rules = AdmissionController(ends.settings, 1, ends.now)
+    ends.dispatcher.controller = AdmissionController(ends.settings, 1, ends.now)
     _, call = ends.arrive("book", caller, idempotency_key="m")
     assert ends.lines[-1]["t"] == "EXEC"
     repeat = []
@@ -103,13 +105,13 @@
 
 def test_a_repeat_joins_as_its_caller_s_connection_closes_and_nothing_is_left_over():
     ends, caller, again = Ends(), Caller(), Caller()
-    ends.dispatcher.rules = AdmissionController(ends.settings, 1, ends.now)
+    ends.dispatcher.controller = AdmissionController(ends.settings, 1, ends.now)
     _, call = ends.arrive("book", caller, idempotency_key="m")
     ends.arrive("book", again, idempotency_key="m")
     ends.turn(messages.ConnectionClosed(again, frozenset([ends.numbers])), over(call))
     assert codes(caller) == [DELIVERED] and codes(again) == []
     ends.turn(*[messages.DeferredEvent(interface.TimerFired(0, interface.Gauges()))])
-    assert not ends.dispatcher.open and not ends.dispatcher.repeating.joiners
+    assert not ends.dispatcher.pending and not ends.dispatcher.repeating.joiners
 
 
 @pytest.mark.parametrize("late", [0.0, 9.0])
@@ -142,7 +144,7 @@
     ends.now += 30.0
     ends.dispatcher.repeating.expire(ends.now)
     ends.turn(ExecutorConnected(False, 0.0), executor_protocol.GaugesReported(REPLAY_END, ()), over(call))
-    assert codes(caller) == [DELIVERED] and not ends.dispatcher.open
+    assert codes(caller) == [DELIVERED] and not ends.dispatcher.pending
 
 
 def test_a_reply_that_went_out_on_this_link_is_not_sent_again_after_the_join():
@@ -164,7 +166,7 @@
     ends, caller = Ends(), Caller()
     monkeypatch.setattr(interface, "Arrived", lambda **_: 1 / 0)
     ends.arrive("read", caller)
-    assert codes(caller) == [TURNED_BACK] and not ends.dispatcher.open and not ends.dispatcher.by_stream
+    assert codes(caller) == [TURNED_BACK] and not ends.dispatcher.pending and not ends.dispatcher.by_stream
     assert ends.counts["errors.core"] == 1
 
 
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -36,7 +36,7 @@
     number, call = ends.arrive("read", caller, do=[interface.Start])
     assert ends.lines == [{"t": "EXEC", "rid": call, "route": "read", "b64": "Ym9keQ=="}]
     ends.turn(over(call))
-    assert caller.answers == [(1, DELIVERED, b"result")] and not ends.dispatcher.open
+    assert caller.answers == [(1, DELIVERED, b"result")] and not ends.dispatcher.pending
     assert ends.heard[-1] == interface.Ended(number, interface.Outcome.DONE, 0.1)
 
 
@@ -52,7 +52,7 @@
     ends = Ends()
     number, call = ends.arrive("file", caller, do=[interface.Start])
     ends.turn(over(call, end))
-    assert codes(caller) == [WRITTEN_OFF] and not ends.dispatcher.open
+    assert codes(caller) == [WRITTEN_OFF] and not ends.dispatcher.pending
     assert ends.heard[-1] == interface.Ended(number, outcome, 0.1)
 
 
@@ -72,7 +72,7 @@
             ends.turn(messages.DeferredEvent(interface.TimerFired(0, None)), do=[interface.Interrupt(number)])
         ends.turn(over(call))
         assert codes(one) == {"write off": [WRITTEN_OFF], "halt": [DELIVERED], "withdraw": []}[ending]
-        assert ends.heard[-1].outcome is interface.Outcome.DONE and not ends.dispatcher.open
+        assert ends.heard[-1].outcome is interface.Outcome.DONE and not ends.dispatcher.pending
         ends.turn(
             over(call, number=2),
             messages.SubmissionCancelled(one, 1),
@@ -86,7 +86,7 @@
     number, call = ends.arrive("read", caller, do=[interface.Start])
     ends.turn(messages.DeferredEvent(interface.TimerFired(0, None)), do=[interface.Interrupt(number)])
     ends.turn(over(call, RunResult.STOPPED, b""))
-    assert caller.answers == [] and number in ends.dispatcher.open
+    assert caller.answers == [] and number in ends.dispatcher.pending
     assert ends.turn(messages.DeferredEvent(interface.TimerFired(0, None)), do=[interface.Start(number)]) == [
         ("EXEC", call)
     ]
@@ -99,7 +99,7 @@
     third, _ = ends.arrive("read", other)
     ends.turn(messages.ConnectionClosed(caller, frozenset(range(1, 9))))
     assert [e.id for e in ends.heard if isinstance(e, interface.CallerGone)] == [first, second]
-    assert set(ends.dispatcher.open) == {first, third}, "one runs on, one is another caller's"
+    assert set(ends.dispatcher.pending) == {first, third}, "one runs on, one is another caller's"
 
 
 def test_an_open_id_from_another_connection_gets_nothing_of_its_owner_s(caller):
@@ -118,7 +118,7 @@
     ends.turn(executor_protocol.CommandRejected("KILL", call))
     assert caller.refused is None
     ends.turn(executor_protocol.CommandRejected("EXEC", call))
-    assert codes(caller) == [WRITTEN_OFF] and caller.refused and not ends.dispatcher.open
+    assert codes(caller) == [WRITTEN_OFF] and caller.refused and not ends.dispatcher.pending
     assert ends.heard[-1].outcome is interface.Outcome.MOOT
 
 
@@ -253,7 +253,7 @@
     ends.gauge()
     assert (
         ends.heard[-1] == interface.Ended(number, interface.Outcome.CANCELLED, 0.0)
-        and not ends.dispatcher.open
+        and not ends.dispatcher.pending
     )
 
 
@@ -289,7 +289,7 @@
 def test_a_run_whose_end_was_missed_is_written_off_and_never_started_again(caller, workload):
     """No end after the stop does not prove that it never ran: its end was among those that were missed."""
     ends = Ends()
-    ends.dispatcher.rules = AdmissionController(ends.settings, 1, ends.now)
+    ends.dispatcher.controller = AdmissionController(ends.settings, 1, ends.now)
     number, call = ends.arrive(workload, caller, idempotency_key="m")
     ends.gauge()
     rejoin(ends, messages.NoticesLost())
@@ -297,7 +297,7 @@
     assert ends.turn(doubt) == [("KILL", call)]
     ends.gauge()
     assert codes(caller) == [WRITTEN_OFF] and ends.counts["executor.end_unheard"] == 1
-    assert [m["t"] for m in ends.lines].count("EXEC") == 1 and not ends.dispatcher.open
+    assert [m["t"] for m in ends.lines].count("EXEC") == 1 and not ends.dispatcher.pending
 
 
 def test_where_work_cannot_be_stopped_a_doubt_ends_as_one_that_may_have_run(caller):
@@ -307,7 +307,8 @@
     ends.turn(messages.DeferredEvent(interface.TimerFired(0, None)), do=[interface.Fail(number)])
     ends.gauge()
     assert (
-        ends.heard[-1] == interface.Ended(number, interface.Outcome.ERROR, 0.0) and not ends.dispatcher.open
+        ends.heard[-1] == interface.Ended(number, interface.Outcome.ERROR, 0.0)
+        and not ends.dispatcher.pending
     )
 
 
@@ -316,7 +317,7 @@
     number, call = ends.arrive("file", caller, do=[interface.Start])
     ends.gauge()
     rejoin(ends, messages.NoticesLost(), executor_protocol.CallRequest(9, call, b"ask"))
-    assert not ends.dispatcher.open[number].unheard
+    assert not ends.dispatcher.pending[number].unheard
     ends.turn(over(call, number=10))
     assert codes(caller) == [DELIVERED]
 
@@ -369,7 +370,7 @@
     )
     ends.turn(executor_protocol.DiagnosisReported(ends.lines[-1]["mark"], False))
     assert caller.answers[-1][:2] == (2, 0)
-    ends.dispatcher.rules = None
+    ends.dispatcher.controller = None
     ends.dispatcher.healthy = False
     ends.turn(messages.HealthCheckRequested(caller, 3, False))
     assert caller.answers[-1][:2] == (3, 0) and len(caller.answers) == 5
@@ -384,7 +385,7 @@
     ends.fail_once()
     ends.turn(messages.DeferredEvent(interface.TimerFired(0, None)), do=[interface.Health(True, True)])
     assert [a[:2] for a in caller.answers] == [(3, WRITTEN_OFF), (1, TURNED_BACK), (2, WRITTEN_OFF)]
-    assert not ends.dispatcher.open and "module_failed" in ends.logged
+    assert not ends.dispatcher.pending and "module_failed" in ends.logged
     _, call = ends.arrive("read", caller, do=[interface.Start])
     ends.turn(over(call))
     assert caller.answers[-1][:2] == (4, DELIVERED)
@@ -398,7 +399,7 @@
     ends.arrive("read", caller)
     ends.dispatcher.meet_wakes = whole
     assert [a[:2] for a in caller.answers] == [(1, WRITTEN_OFF), (2, TURNED_BACK)]
-    assert not ends.dispatcher.open and ends.logged.count("module_failed") == 1
+    assert not ends.dispatcher.pending and ends.logged.count("module_failed") == 1
     _, call = ends.arrive("read", caller, do=[interface.Start])
     ends.turn(over(call))
     assert caller.answers[-1][:2] == (3, DELIVERED)
@@ -416,7 +417,7 @@
 
 def test_a_notice_before_the_module_starts_counts_from_when_it_came(caller):
     ends = Ends()
-    ends.dispatcher.rules, ends.dispatcher.healthy, times = None, False, []
+    ends.dispatcher.controller, ends.dispatcher.healthy, times = None, False, []
     ends.turn(messages.DrainRequested(3.0))
     ends.decide = lambda now, events: times.append((now, list(events))) or []
     ends.now += 1.0
@@ -450,7 +451,7 @@
     assert ends.heard[-1].duplicate_of == first and caller.answers == []
     ends.turn(over(call))
     third, _ = ends.arrive("read", caller, do=[interface.AnswerFromOriginal], subject="s")
-    assert [a[1:] for a in caller.answers] == [(DELIVERED, b"result")] * 3 and not ends.dispatcher.open
+    assert [a[1:] for a in caller.answers] == [(DELIVERED, b"result")] * 3 and not ends.dispatcher.pending
     ends.turn()
     assert ends.heard[-1] == interface.Ended(third, interface.Outcome.DONE, 0.0)
     ends.turn(messages.DeferredEvent(interface.TimerFired(0, None)), do=[interface.Forget(first)])
@@ -463,7 +464,7 @@
     """The real module, a random machine with a link that breaks, and a plain count of answers and runs."""
     chance, caller = random.Random(seed), Caller()
     ends = Ends()
-    ends.dispatcher.rules = AdmissionController(ends.settings, seed, ends.now)
+    ends.dispatcher.controller = AdmissionController(ends.settings, seed, ends.now)
     state, seen, due = {}, 0, {}  # call -> where its run is
     notices, number = [], 0
     for step in range(700):
@@ -524,7 +525,7 @@
         answered = [stream for stream, _, _ in caller.answers]
         assert len(answered) == len(set(answered)), "two answers"
         late = {stream for stream, at in due.items() if ends.now > at + ends.settings.answer_slack}
-        owed = {sub.stream for sub in ends.dispatcher.open.values() if not sub.answered}
+        owed = {sub.stream for sub in ends.dispatcher.pending.values() if not sub.answered}
         assert not owed & late, "an answer overdue"
     assert ends.counts["out.delivered"] > 5 and ends.counts.get("errors.core", 0) == 0
-    assert all(sub.answered for sub in ends.dispatcher.open.values()), "lost"
+    assert all(sub.answered for sub in ends.dispatcher.pending.values()), "lost"
--- a/tests/dispatch/test_endings.py
+++ b/tests/dispatch/test_endings.py
@@ -605,7 +605,7 @@
     served = Served(scheduler)
 
     def test():
-        served.gateways.ask_all_to_close(0.05)
+        served.gateways.request_close_all(0.05)
         connection, far = served.connect()
         far.sendall(submission(1))
         while not connection.open:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -329,8 +329,8 @@
 
     def gauge(self):
         """What the executor answers to gauges asked for now: all commands before have arrived."""
-        self.dispatcher.runs.mark += 1
-        self.turn(executor_protocol.GaugesReported(str(self.dispatcher.runs.mark), (0.1, 0, 0.1, 1)))
+        self.dispatcher.executions.mark += 1
+        self.turn(executor_protocol.GaugesReported(str(self.dispatcher.executions.mark), (0.1, 0, 0.1, 1)))
 
 
 class Caller:
--- a/tests/lab/test_fleet_trial.py
+++ b/tests/lab/test_fleet_trial.py
@@ -178,7 +178,10 @@
         assert caller.answers
     dispatcher = ends.dispatcher
     assert (
-        not dispatcher.open and not dispatcher.by_call and not dispatcher.by_stream and not dispatcher.checks
+        not dispatcher.pending
+        and not dispatcher.by_call
+        and not dispatcher.by_stream
+        and not dispatcher.checks
     )
 
 
--- a/tests/result_store/test_idempotent_requests.py
+++ b/tests/result_store/test_idempotent_requests.py
@@ -33,7 +33,7 @@
         self.ends = Ends(kept=self.store, **self.changes)
         self.ends.numbers = 1000 * self.born  # calls are new after a restart too
         if self.real:
-            self.ends.dispatcher.rules = AdmissionController(self.ends.settings, 1, self.ends.now)
+            self.ends.dispatcher.controller = AdmissionController(self.ends.settings, 1, self.ends.now)
 
     def restart(self, held=False):
         self.machine.kill()
@@ -113,7 +113,7 @@
     assert codes(caller) == [answered] and (answered != DELIVERED or caller.answers[0][2] == b"result")
     world.ends.turn()
     outcome = interface.Outcome.DONE if answered == DELIVERED else interface.Outcome.ERROR
-    assert world.ends.heard[-1] == interface.Ended(number, outcome, 0.0) and not world.ends.dispatcher.open
+    assert world.ends.heard[-1] == interface.Ended(number, outcome, 0.0) and not world.ends.dispatcher.pending
 
 
 def test_one_key_on_three_connections_is_executed_once_over_a_restart():
@@ -271,7 +271,7 @@
 def test_full_deduplication_table_without_store_rejects_requests():
     caller = Caller()
     ends = Ends()
-    ends.dispatcher.rules = AdmissionController(ends.settings, 1, ends.now)
+    ends.dispatcher.controller = AdmissionController(ends.settings, 1, ends.now)
     ends.dispatcher.repeating.table.most = 500
     for mark in ("a", "b"):
         ends.arrive("book", Caller(), idempotency_key=mark)
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -362,7 +362,7 @@
             got += box.take_all(10.0)
         link.send(b"one\n")
         moved = scheduler.clock()
-        link.move(new)
+        link.set_address(new)
         while sum(isinstance(m, executor_protocol.RunEnded) for m in got) < 2:
             got += box.take_all(10.0)
         assert [m.number for m in got if isinstance(m, executor_protocol.RunEnded)] == [1, 2]
@@ -382,10 +382,10 @@
     def test():
         while not link.up:
             scheduler.sleep(0.01)
-        link.move(second)
+        link.set_address(second)
         while link.next is None:  # then the handover waits for gauges that do not come
             scheduler.sleep(0.001)
-        link.move(third)
+        link.set_address(third)
         while not link.up or link.stream.sock.getpeername() != third:
             scheduler.sleep(0.01)
         assert not took, "nothing new went to the address in between"
--- a/valeturn/dispatch/call_quota.py
+++ b/valeturn/dispatch/call_quota.py
@@ -20,7 +20,7 @@
         """For each turn, so that a server that was stopped uses nothing that is over."""
         return [] if self.usable() == self.said else [self.event()]
 
-    def need(self, at_calls):
+    def required_calls(self, at_calls):
         """Calls out that this server could use, from those that stand there now."""
         self.seen = max(float(at_calls), FADES * self.seen)
         return self.seen
--- a/valeturn/dispatch/deduplication.py
+++ b/valeturn/dispatch/deduplication.py
@@ -48,7 +48,7 @@
         other's result; and nothing may run twice under one mark."""
         if sub.key is None or sub.w.effect is not interface.Effect.DEDUPLICATED:
             return False
-        fingerprint, first = self.fingerprint(sub), self.dispatcher.open.get(self.batch.get(sub.key))
+        fingerprint, first = self.fingerprint(sub), self.dispatcher.pending.get(self.batch.get(sub.key))
         return self.table.reused(sub.key, now - waited, fingerprint) or (
             first is not None and self.fingerprint(first) != fingerprint
         )
@@ -72,14 +72,14 @@
             if not room_in:
                 self.kept.reserve(sub.number)
             return None, room_in
-        if meets.outcome == "coalesce" and meets.entry.request_id in self.dispatcher.open:
+        if meets.outcome == "coalesce" and meets.entry.request_id in self.dispatcher.pending:
             return meets.entry.request_id, 0.0
         self.dispatcher.count("store.repeats")
         sub.meets = meets
         return IN_STORE, 0.0
 
     def do_remember(self, now, a):
-        sub = self.dispatcher.open.get(a.id)
+        sub = self.dispatcher.pending.get(a.id)
         if sub is None or sub.key is None:
             return
         sub.lasting_to = now + a.lifetime
@@ -90,12 +90,12 @@
         self.table.remove(a.id)
 
     def do_answer_from(self, now, a):
-        sub = self.dispatcher.open.get(a.id)
+        sub = self.dispatcher.pending.get(a.id)
         if sub is None:
             return
         if sub.meets is not None:
             self.answer_from_store(sub)
-        elif sub.repeats in self.dispatcher.open:
+        elif sub.repeats in self.dispatcher.pending:
             self.joiners.setdefault(sub.repeats, []).append(a.id)
         else:
             entry = self.table.by_number.get(sub.repeats)
@@ -123,7 +123,7 @@
             self.kept.end_execution(sub.number, sub.digest, given, result)
             self.table.remove(sub.number)  # the store knows it from here on
         for number in self.joiners.pop(sub.number, ()):
-            self.end_joined(self.dispatcher.open.get(number), result)
+            self.end_joined(self.dispatcher.pending.get(number), result)
 
     DONE, ENDED, UNBEGUN = 3, 4, 5  # inputs of store.entry, which is not loaded where there is no store
 
@@ -168,12 +168,12 @@
     def on_disk_news(self, now, m):
         for kind, number, body in self.kept.collect():
             if kind == "intent_durable":
-                self.dispatcher.runs.on_noted(number)
+                self.dispatcher.executions.on_noted(number)
             elif kind == "intent_lost":
                 self.dispatcher.count("store.not_noted")
-                self.dispatcher.runs.not_noted(number)
+                self.dispatcher.executions.not_noted(number)
             else:
-                sub = self.dispatcher.open.get(number)
+                sub = self.dispatcher.pending.get(number)
                 self.dispatcher.count("store.answered" if body is not None else "store.no_answer")
                 self.end_joined(sub, body)
 
--- a/valeturn/dispatch/degradation_monitor.py
+++ b/valeturn/dispatch/degradation_monitor.py
@@ -45,7 +45,7 @@
         if spared != self.spared:
             self.count("levels.trials") if not self.spared else None
             self.spared = spared
-            told = [self.event()]
+            told = [self.current_event()]
         return told
 
     def hold(self, now, name, seconds):
@@ -53,7 +53,7 @@
         changes = self.decision.pin(now, name, seconds)
         return None if changes is None else self.told(now, changes, self.signals.read(now))
 
-    def free(self, now):
+    def release(self, now):
         """None where nothing is held by hand."""
         changes = self.decision.unpin(now)
         return None if changes is None else self.told(now, changes, self.signals.read(now))
@@ -65,9 +65,9 @@
             known = {k: round(v, 4) for k, v in read.items() if v is not None}
             way = {"from": change.before or "none", "to": change.after or "none", "why": change.reason}
             self.log("level", {**way, **known})
-        return [self.event()] if changes else []
+        return [self.current_event()] if changes else []
 
-    def event(self):
+    def current_event(self):
         level = self.decision.active_level()
         return interface.LevelChanged(
             interface.ServiceReduction()
@@ -75,7 +75,7 @@
             else level.restrictions._replace(exempt_share=self.spared)
         )
 
-    def figures(self, now):
+    def status_fields(self, now):
         """For the counters: which level, since when and why, and the seconds in each so far."""
         spent = {f"in_{name}_s": seconds for name, seconds in sorted(self.times.items())}
         name = self.decision.active_name or "none"
--- a/valeturn/dispatch/dispatcher.py
+++ b/valeturn/dispatch/dispatcher.py
@@ -56,46 +56,46 @@
         scheduler,
         names,
         bounds,
-        pace,
-        make_rules,
+        pacing,
+        make_controller,
         parties,
         telling,
         kept=None,
         reducing=None,
         sharing=None,
     ):
-        self.scheduler, self.pace, self.make_rules = scheduler, pace, make_rules
+        self.scheduler, self.pacing, self.make_controller = scheduler, pacing, make_controller
         self.names, self.settings = names, names.settings
         self.link, self.ledger, self.gateways, self.reporter = parties
         self.count, self.times, self.log = telling
         self.most_open, self.mailbox = bounds.submissions, Mailbox(scheduler, bounds.messages)
-        self.rules, self.numbers = None, 0
-        self.open, self.by_call, self.by_stream = {}, {}, {}
+        self.controller, self.numbers = None, 0
+        self.pending, self.by_call, self.by_stream = {}, {}, {}
         self.wakes, self.asked = [], 0.0
-        self.runs, self.repeating = Executions(self), Deduplication(self, bounds.results, kept)
+        self.executions, self.repeating = Executions(self), Deduplication(self, bounds.results, kept)
         self.healthy, self.shallow, self.load, self.checks = False, True, None, {}
-        self.cold, self.warm_since, self.stopped = False, 0.0, False
+        self.started_cold, self.warm_since, self.stopped = False, 0.0, False
         self.leave, self.events, self.trace, self.reducing = None, [], None, reducing
         self.sharing = sharing
         self.takes, self.does = self.tables()
 
     def unanswered_count(self):
-        return sum(not sub.answered for sub in self.open.values())
+        return sum(not sub.answered for sub in self.pending.values())
 
     def call_count(self):
         """Submissions that have a call out, or wait to have one."""
-        return sum(sub.notice is not None for sub in self.open.values())
+        return sum(sub.notice is not None for sub in self.pending.values())
 
     def gauges(self):
         """How many submissions are open, owed and running, and how old the gauges are."""
-        subs = self.open.values()
+        subs = self.pending.values()
         return {
             "open": len(subs),
             "owed": self.unanswered_count(),
             "running": sum(sub.run not in UNSENT for sub in subs),
             "in_doubt": sum(sub.run == DOUBTED for sub in subs),
             "at_calls": self.call_count(),
-            "gauges_age_s": self.scheduler.clock() - self.runs.gauged_at,
+            "gauges_age_s": self.scheduler.clock() - self.executions.gauged_at,
             "good": int(self.healthy),
         }
 
@@ -107,13 +107,13 @@
     def run(self):
         while True:
             self.turn(self.mailbox.take_all(self.next_due()))
-            gap = self.pace.gap()
+            gap = self.pacing.gap()
             if gap:
                 self.count("core.paced")
                 self.scheduler.sleep(gap)
 
     def next_due(self):
-        if not self.wakes or self.rules is None:
+        if not self.wakes or self.controller is None:
             return None
         when = self.wakes[0][0]
         return max(0.0, (when if self.asked >= when else when - GAUGES_AHEAD) - self.scheduler.clock())
@@ -136,11 +136,11 @@
         self.repeating.turn_ends()
 
     def decide(self, now):
-        if self.rules is None or not self.events:
+        if self.controller is None or not self.events:
             return
         self.count("core.turns")
         try:
-            actions = self.rules.decide(now, self.events)
+            actions = self.controller.decide(now, self.events)
             self.times.add("decide", self.scheduler.clock() - now)
         except Exception as error:
             self.module_failed(now, error)
@@ -171,7 +171,7 @@
     def meet_wakes(self, now):
         if self.wakes and self.asked < self.wakes[0][0] <= now + GAUGES_AHEAD:
             self.asked = self.wakes[0][0]
-            self.runs.ask_gauges(now)
+            self.executions.ask_gauges(now)
         due = {}
         while self.wakes and self.wakes[0][0] <= now:
             when, mark = heapq.heappop(self.wakes)
@@ -179,12 +179,12 @@
         if due:
             self.times.add("wake_late", now - min(due.values()))
         for mark in due:
-            fresh = now - self.runs.gauged_at <= GAUGES_LAST
+            fresh = now - self.executions.gauged_at <= GAUGES_LAST
             self.events.append(
-                interface.TimerFired(mark, self.names.gauges(self.runs.gauges if fresh else ()))
+                interface.TimerFired(mark, self.names.gauges(self.executions.gauges if fresh else ()))
             )
         if due and self.reducing is not None:
-            self.reducing.gauged(now, self.names.gauges(self.runs.gauges)) if fresh else None
+            self.reducing.gauged(now, self.names.gauges(self.executions.gauges)) if fresh else None
             self.events += self.reducing.sweep(now, self.is_cold(now))
         if due:
             self.repeating.expire(now)
@@ -192,14 +192,14 @@
 
     def is_cold(self, now):
         """While it warms up a server's own cores tell of nothing but that."""
-        return self.cold and now - self.warm_since < self.settings.warm_up_time
+        return self.started_cold and now - self.warm_since < self.settings.warm_up_time
 
     def module_failed(self, now, error):
         """Answers what is owed as truthfully as is known, and goes on with a module that knows nothing."""
         self.log("module_failed", fault=error)
         self.count("core.module_failed")
         self.settle_all()
-        self.rules, self.healthy = None, False
+        self.controller, self.healthy = None, False
         try:
             self.start_module(now, False, 0.0)
         except Exception as again:  # without a module all is turned back and health is not good
@@ -207,7 +207,7 @@
 
     def settle_all(self):
         """The one final answer for each that is owed one, as truthful as is known."""
-        for sub in list(self.open.values()):
+        for sub in list(self.pending.values()):
             if not sub.ran and sub.w.effect is not interface.Effect.DEDUPLICATED:
                 self.answer(sub, "turned_back")
             else:
@@ -223,17 +223,17 @@
         if self.unanswered_count():
             self.count("core.settled_at_stop", self.unanswered_count())
         self.settle_all()
-        self.rules, self.healthy, self.wakes, self.stopped = None, False, [], True
+        self.controller, self.healthy, self.wakes, self.stopped = None, False, [], True
 
     def start_module(self, now, cold, age):
         """A notice to leave that came before is told as of then: the grace counts from the notice."""
         when, notice = self.leave if self.leave is not None else (now, None)
-        rules, self.wakes = self.make_rules(cold, age), []
-        self.cold, self.warm_since = cold or self.settings.starts_cold, now - age
-        told = [] if self.reducing is None else [self.reducing.event()]
+        rules, self.wakes = self.make_controller(cold, age), []
+        self.started_cold, self.warm_since = cold or self.settings.starts_cold, now - age
+        told = [] if self.reducing is None else [self.reducing.current_event()]
         told += [] if self.sharing is None else [self.sharing.event()]
         actions = rules.decide(when, told + ([] if notice is None else [notice]))
-        self.rules = rules
+        self.controller = rules
         for action in actions:
             self.carry(self.does, now, action)
 
@@ -241,15 +241,15 @@
 
     def on_link_up(self, now, m):
         self.count("executor.joined")
-        self.runs.links += 1
-        if self.rules is None and not self.stopped:
+        self.executions.links += 1
+        if self.controller is None and not self.stopped:
             self.log("welcome", {"cold": m.cold, "age": m.age, "told_cold": self.settings.starts_cold})
             self.start_module(now, m.cold, m.age)
 
     def on_arrival(self, now, m):
         s, connection = m.submission, m.connection
-        if self.rules is None or len(self.open) >= self.most_open:
-            self.count("in.too_early" if self.rules is None else "in.over_all")
+        if self.controller is None or len(self.pending) >= self.most_open:
+            self.count("in.too_early" if self.controller is None else "in.over_all")
             connection.turn_back(s.stream, self.load)
             return
         if s.call_id in self.by_call:  # one submission has one answer, which is its first caller's alone
@@ -268,7 +268,7 @@
             connection.refuse(s.stream, "mark_reused")
             return
         sub.repeats, room_in = self.repeating.newcomer(now, sub, waited)
-        self.open[number] = self.by_call[s.call_id] = self.by_stream[connection, s.stream] = sub
+        self.pending[number] = self.by_call[s.call_id] = self.by_stream[connection, s.stream] = sub
         left = None if s.timeout is None or not self.names.passes_wait else max(0.0, s.timeout - waited)
         if self.reducing is not None:
             self.reducing.signals.record_request(now, waited)
@@ -310,11 +310,11 @@
 
     def on_check(self, now, m):
         full = len(self.checks) >= CHECKS
-        if self.shallow or not m.deep or self.rules is None or not self.healthy or full:
+        if self.shallow or not m.deep or self.controller is None or not self.healthy or full:
             self.answer_check(m.connection, m.stream, self.healthy)
             return
-        self.runs.mark += 1
-        mark = f"check{self.runs.mark}"
+        self.executions.mark += 1
+        mark = f"check{self.executions.mark}"
         self.checks[mark] = (m.connection, m.stream)
         if not self.link.send(executor_protocol.diagnose(mark)):
             self.check_over(mark, False)
@@ -370,7 +370,7 @@
         self.by_stream.pop((sub.connection, sub.stream), None)
 
     def drop(self, sub):
-        if self.open.pop(sub.number, None) is not None:
+        if self.pending.pop(sub.number, None) is not None:
             self.repeating.dropped(sub)
         self.by_call.pop(sub.call, None)
         self.by_stream.pop((sub.connection, sub.stream), None)
@@ -378,13 +378,13 @@
     # ---- what the module asks for
 
     def do_turn_back(self, now, a):
-        sub = self.open.get(a.id)
+        sub = self.pending.get(a.id)
         if sub is not None:
             self.answer(sub, "turned_back", a.retry_after, a.final)
             self.over_unless_running(sub)
 
     def do_write_off(self, now, a):
-        sub = self.open.get(a.id)
+        sub = self.pending.get(a.id)
         if sub is not None:
             self.answer(sub, "written_off")
             if sub.notice is not None:
@@ -414,7 +414,7 @@
 
     def tables(self):
         """What is done with each message, and with each action, by its type."""
-        runs, repeating = self.runs, self.repeating
+        runs, repeating = self.executions, self.repeating
         takes = {
             messages.ExecutorConnected: self.on_link_up,
             messages.ExecutorDisconnected: runs.on_link_down,
--- a/valeturn/dispatch/executions.py
+++ b/valeturn/dispatch/executions.py
@@ -36,7 +36,7 @@
         self.dispatcher.link.send(executor_protocol.gauge(str(self.mark)))
 
     def on_link_down(self, now, m):
-        for sub in self.dispatcher.open.values():
+        for sub in self.dispatcher.pending.values():
             if sub.run == SENT:
                 sub.run = REACHED if sub.sent_at < m.arrived else DOUBTED
             if sub.reply is not None and sub.reply.sent and sub.reply.at < m.arrived:
@@ -44,7 +44,7 @@
 
     def on_notices_missed(self, now, m):
         """An end may be among them."""
-        for sub in self.dispatcher.open.values():
+        for sub in self.dispatcher.pending.values():
             if sub.run not in UNSENT:
                 sub.run, sub.unheard = DOUBTED, True
 
@@ -57,7 +57,7 @@
         # Commands are read in order: what was sent before these gauges were asked for has arrived there.
         self.seen_mark = int(m.token) if m.token.isdigit() else self.seen_mark
         doubted = []
-        for sub in self.dispatcher.open.values():
+        for sub in self.dispatcher.pending.values():
             if sub.run == SENT and sub.sent_mark < self.seen_mark:
                 sub.run = REACHED
             if sub.reply is not None and sub.reply.mark < self.seen_mark:
@@ -94,7 +94,7 @@
         """After a join, when all missed notices were read: sends again what may be sent again. What must not
         run twice and is not heard of in the time that it should take is told to stop: no end means no run."""
         now = self.dispatcher.scheduler.clock()
-        for sub in list(self.dispatcher.open.values()):
+        for sub in list(self.dispatcher.pending.values()):
             if sub.run == WANTED or sub.run == DOUBTED and sub.w.effect is interface.Effect.IDEMPOTENT:
                 self.send_start(sub)
             elif sub.run == DOUBTED:
@@ -110,7 +110,7 @@
                 self.send_halt(sub)
 
     def on_doubt(self, now, m):
-        sub = self.dispatcher.open.get(m.number)
+        sub = self.dispatcher.pending.get(m.number)
         can = self.dispatcher.settings.interruption is not interface.Interruption.UNSUPPORTED
         if sub is not None and sub.run == DOUBTED and not sub.halting and can:
             sub.probed = sub.halting = True
@@ -179,7 +179,7 @@
             self.dispatcher.link.send(executor_protocol.interrupt(m.call))
 
     def on_call_over(self, now, m):
-        sub = self.dispatcher.open.get(m.number)
+        sub = self.dispatcher.pending.get(m.number)
         if sub is None or sub.notice is None or sub.attempt != m.attempt:
             self.dispatcher.count("ledger.reply_of_none")
             return
@@ -212,7 +212,7 @@
             connection.refuse_connection("made up")
 
     def do_start(self, now, a):
-        sub = self.dispatcher.open.get(a.id)
+        sub = self.dispatcher.pending.get(a.id)
         if sub is None or sub.answered or sub.run != IDLE:
             if sub is None:  # over already: the module hears that nothing was started
                 self.dispatcher.put_later(
@@ -231,7 +231,7 @@
         sub.sent_at = self.dispatcher.scheduler.clock()
 
     def do_halt(self, now, a):
-        sub = self.dispatcher.open.get(a.id)
+        sub = self.dispatcher.pending.get(a.id)
         if sub is None or sub.run == IDLE:
             return
         if sub.run in (WANTED, NOTED):  # never sent
@@ -250,14 +250,14 @@
         sub.halted = self.mark if self.dispatcher.link.send(executor_protocol.interrupt(sub.call)) else None
 
     def do_call(self, now, a):
-        sub = self.dispatcher.open.get(a.id)
+        sub = self.dispatcher.pending.get(a.id)
         if sub is not None and sub.notice is not None:
             sub.attempt += 1
             self.dispatcher.count("out.calls")
             self.dispatcher.ledger.call(sub.number, sub.attempt, sub.call, a.timeout, sub.notice[1])
 
     def do_go_without(self, now, a):
-        sub = self.dispatcher.open.get(a.id)
+        sub = self.dispatcher.pending.get(a.id)
         if sub is not None and sub.notice is not None:
             self.dispatcher.count("out.without_call")
             self.dispatcher.ledger.give_up(sub.number)
@@ -265,14 +265,14 @@
 
     def on_noted(self, number):
         """Its intent is durable."""
-        sub = self.dispatcher.open.get(number)
+        sub = self.dispatcher.pending.get(number)
         if sub is not None and sub.run == NOTED:
             sub.noted = True
             self.send_start(sub)
 
     def not_noted(self, number):
         """It can't be made durable: it never runs, and the module hears why."""
-        sub = self.dispatcher.open.get(number)
+        sub = self.dispatcher.pending.get(number)
         if sub is not None and sub.run == NOTED:
             sub.run = IDLE
             self.dispatcher.events.append(interface.Ended(number, interface.Outcome.UNSTORED, 0.0))
--- a/valeturn/dispatch/executor_client.py
+++ b/valeturn/dispatch/executor_client.py
@@ -40,7 +40,7 @@
             self.count("executor.silent" if self.up else "executor.unwelcomed")
             self.stream.close(StreamFault.TIMED_OUT)
 
-    def move(self, address):
+    def set_address(self, address):
         """The link goes over to this address; the one that stands serves until the other is there."""
         if address != self.address:
             self.address = address
--- a/valeturn/dispatch/gateway_server.py
+++ b/valeturn/dispatch/gateway_server.py
@@ -309,7 +309,7 @@
             connection.close(CROSSING)
         return False
 
-    def ask_all_to_close(self, linger=CLOSING):
+    def request_close_all(self, linger=CLOSING):
         """Those that are accepted from here on are asked too."""
         self.draining = True
         for connection in list(self.connections):
--- a/valeturn/dispatch/ledger_client.py
+++ b/valeturn/dispatch/ledger_client.py
@@ -28,9 +28,9 @@
     def __init__(self, scheduler, address, most, put, count):
         self.scheduler, self.most, self.put, self.count = scheduler, most, put, count
         self.out = {}  # submission -> task
-        self.move(address)
+        self.set_address(address)
 
-    def move(self, address):
+    def set_address(self, address):
         """Calls go to this address from now on; those that are out end where they are."""
         self.address, self.host = address, f"{address[0]}:{address[1]}"
 
--- a/valeturn/dispatch/registry_client.py
+++ b/valeturn/dispatch/registry_client.py
@@ -17,10 +17,10 @@
         self.random_source, self.backoff = random_source, Backoff(random_source, 0.05, EVERY)
         self.serving = self.idle = self.again = False
         self.reported_at = scheduler.clock()  # the last that may have counted
-        self.move(address)
+        self.set_address(address)
         self.task = scheduler.spawn_supervised(self.run, name="naming")
 
-    def move(self, address):
+    def set_address(self, address):
         """Reports go to this address from now on, the first at once."""
         self.address, self.host = address, f"{address[0]}:{address[1]}"
         self.report_now()
