--- a/tests/degradation/test_signals.py
+++ b/tests/degradation/test_signals.py
@@ -48,8 +48,8 @@
         for step in range(int(10 * seconds)):
             now = start + step / 10
             for _ in range(3):
-                reducing.call_ended(now, interface.Outcome.DONE, took)
-            out += reducing.sweep(now, False)
+                reducing.record_call(now, interface.Outcome.DONE, took)
+            out += reducing.update(now, False)
         return out
 
     assert run(0.02, 30, 0.0) == []
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -410,7 +410,7 @@
 def test_requests_that_the_controller_ignores_are_answered_at_the_stop():
     server, caller = unlogged_server(stop_ms=400), Caller()
     server.dispatcher.make_controller = lambda cold, age: types.SimpleNamespace(decide=lambda now, events: [])
-    server.scheduler.spawn(server.dispatcher.run, name="core", late=True)
+    server.scheduler.spawn(server.dispatcher.run, name="core", low_priority=True)
     server.gateways.listener = types.SimpleNamespace(drain=lambda until: None)
     submission = frames.Submission(
         1, "0" * 16, "file", "acme", time.time(), 2.0, 0.1, 8.0, 0.5, 1, None, None, False, b"body"
--- a/valeturn/control/server.py
+++ b/valeturn/control/server.py
@@ -125,7 +125,7 @@
 
     def close(self) -> None:
         """Stop accepting clients and remove the socket's path."""
-        self.scheduler.closing(self.listener.fileno())
+        self.scheduler.detach_fd(self.listener.fileno())
         self.listener.close()
         with contextlib.suppress(OSError):  # the path may have been removed already
             os.unlink(self.path)
--- a/valeturn/server/components/degradation.py
+++ b/valeturn/server/components/degradation.py
@@ -41,7 +41,7 @@
     def apply(self, options: Any) -> None:  # noqa: ANN401 - as the base class
         """Replace the levels and notify the dispatcher, as the active level may have changed."""
         self.options = options
-        self.monitor.decision.configure(build_levels(options, self.server.configuration.names))
+        self.monitor.controller.configure(build_levels(options, self.server.configuration.names))
         self.server.dispatcher.put(DeferredEvent(self.monitor.current_event()))
 
     def answer(self, request: requests.ControlRequest) -> bytes | None:
--- a/valeturn/server/components/maintenance.py
+++ b/valeturn/server/components/maintenance.py
@@ -109,7 +109,7 @@
             return False
         # Cast to a name, because its module is imported only if the operator's file has levels.
         monitor = cast("DegradationComponent", degradation).monitor
-        return monitor.decision.state is not State.NORMAL
+        return monitor.controller.state is not State.NORMAL
 
     def start_drain(self) -> None:
         """Begin the graceful shutdown for maintenance of this server."""
--- a/valeturn/server/components/result_store.py
+++ b/valeturn/server/components/result_store.py
@@ -66,7 +66,7 @@
 
     def forward_progress(self) -> None:
         """Notify the dispatcher whenever the store's worker thread has completed jobs; runs as a task."""
-        stream = Stream(self.server.scheduler, self._worker.end)
+        stream = Stream(self.server.scheduler, self._worker.wakeup_socket)
         while isinstance(stream.read(), bytes):
             self.server.dispatcher.put(StoreProgressed())
 
--- a/valeturn/server/counters.py
+++ b/valeturn/server/counters.py
@@ -19,14 +19,14 @@
     """The event loop's statistics, as the scheduler has them."""
 
     turns: int  # iterations of the loop
-    timers_met: int  # timers that have fired
+    timers_fired: int  # timers that have fired
 
     @property
     def lag_sum(self) -> float:
         """Sum of the seconds by which timers fired late."""
 
     @property
-    def lag_most(self) -> float:
+    def max_lag(self) -> float:
         """Seconds by which the most delayed timer fired late."""
 
 
@@ -84,9 +84,9 @@
             "cpu_ms_per_request": 1000.0 * cpu_s / max(1, requests),
             "memory_peak_mb": usage.ru_maxrss / KB_PER_MB,
             "loop_rounds": loop.turns,
-            "timers": loop.timers_met,
-            "lag_mean_ms": 1000.0 * loop.lag_sum / max(1, loop.timers_met),
-            "lag_longest_ms": 1000.0 * loop.lag_most,
+            "timers": loop.timers_fired,
+            "lag_mean_ms": 1000.0 * loop.lag_sum / max(1, loop.timers_fired),
+            "lag_longest_ms": 1000.0 * loop.max_lag,
         }
 
     def print(self, log: Log, loop: LoopStatistics, gauges: Mapping[str, object]) -> None:
--- a/valeturn/server/server.py
+++ b/valeturn/server/server.py
@@ -17,7 +17,7 @@
 from ..dispatch.turn_pacing import TurnPacing
 from ..errors import ValeturnError
 from ..transport import early_signals
-from ..transport.listener import Listener, listening
+from ..transport.listener import Listener, open_listening_socket
 from ..transport.scheduler import Scheduler, Task
 from ..transport.seeded_random import SeededRandom
 from ..transport.signals import Signals
@@ -189,10 +189,10 @@
             InterruptedStartError: A termination signal was received while the address was still in use.
             OSError: The address can't be listened on.
         """
-        if early_signals.leaving():
+        if early_signals.termination_requested():
             return self._end_before_listening()
         address = self.configuration.listen
-        sock = listening(address, self._wait_for_address, self.scheduler.clock)
+        sock = open_listening_socket(address, self._wait_for_address, self.scheduler.clock)
         self._handle_signals()  # until here early_signals has recorded the termination signals
         self.gateways.listener = Listener(
             self.scheduler, address, self.limits.connections, self.gateways.accept, self.gateways.evict, sock
@@ -228,7 +228,7 @@
 
     def _start_tasks(self) -> None:
         """Start the dispatcher, the periodic tasks and the components."""
-        self.scheduler.spawn(self.dispatcher.run, name="core", late=True)
+        self.scheduler.spawn(self.dispatcher.run, name="core", low_priority=True)
         self.scheduler.spawn_supervised(self.check_connections, name="sweep")
         self.scheduler.spawn_supervised(self.status.print_periodically, name="counters")
         for component in self.components.values():
@@ -240,7 +240,7 @@
         Raises:
             InterruptedStartError: A termination signal has been received.
         """
-        if early_signals.leaving():
+        if early_signals.termination_requested():
             raise InterruptedStartError
         address = self.configuration.listen
         self.log("address_in_use", {"address": f"{address.host}:{address.port}"})
--- a/valeturn/server/shutdown.py
+++ b/valeturn/server/shutdown.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ..dispatch.gateway_server import CLOSING
+from ..dispatch.gateway_server import CLOSE_TIMEOUT_S
 from ..dispatch.messages import DrainRequested, StopRequested
 
 if TYPE_CHECKING:
@@ -85,7 +85,7 @@
         """Stop accepting requests and wait for all answers; at the deadline the dispatcher gives the rest."""
         server = self._server
         clock = server.scheduler.clock
-        server.gateways.request_close_all(min(CLOSING, max(0.0, 0.5 * (answer_deadline - clock()))))
+        server.gateways.request_close_all(min(CLOSE_TIMEOUT_S, max(0.0, 0.5 * (answer_deadline - clock()))))
         listener = server.gateways.listener
         assert listener is not None  # it exists before the signal handlers are installed
         listener.drain(answer_deadline)
