--- a/tests/degradation/test_degradation.py
+++ b/tests/degradation/test_degradation.py
@@ -5,7 +5,7 @@
 
 import pytest
 from degradation_support import LEVEL, SCHEMAS
-from helpers import WORKLOADS, Caller, Ends, Model, settings
+from helpers import WORKLOADS, Caller, DispatcherHarness, Model, settings
 from program_support import CONFIG
 
 from valeturn.admission import interface
@@ -155,7 +155,7 @@
             if sub["at"] in ("running", "spent") and roll < 0.04:
                 done = interface.Outcome.DONE if sub["owed"] else interface.Outcome.CANCELLED
                 events.append(interface.Ended(one, done, 0.2))
-            elif sub["at"] == "running" and sub["w"].makes_call and roll < 0.07:
+            elif sub["at"] == "running" and sub["workload"].makes_call and roll < 0.07:
                 events.append(interface.CallRequested(one))
             elif sub["at"] == "calling" and roll < 0.1:
                 events.append(
@@ -163,7 +163,7 @@
                         one, chance.choice((interface.Outcome.DONE, interface.Outcome.TIMED_OUT)), 0.1
                     )
                 )
-            elif sub["at"] == "joined" and model.subs[sub["e"].duplicate_of]["at"] == "over":
+            elif sub["at"] == "joined" and model.subs[sub["event"].duplicate_of]["at"] == "over":
                 events.append(interface.Ended(one, interface.Outcome.DONE, 0.0))
         if any(t <= now for t in model.timers):
             events.append(interface.TimerFired(0, interface.Gauges(0.9, 3, 10.0, 4)))
@@ -173,7 +173,7 @@
             assert not (
                 isinstance(action, interface.Reject)
                 and action.id in started
-                and (model.subs[action.id]["w"].effect is not interface.Effect.IDEMPOTENT)
+                and (model.subs[action.id]["workload"].effect is not interface.Effect.IDEMPOTENT)
             ), "turned back once started"
     assert len(started) > 20
 
@@ -182,7 +182,7 @@
     text = LEVEL.replace("cores.busy > 80 %", "cores.busy > 80 % for 300 ms")
     options, faults = schema.check(text, "v.ini", SCHEMAS)
     assert not faults
-    ends = Ends()
+    ends = DispatcherHarness()
     ends.names = configuration.decode(json.loads(json.dumps(CONFIG))).names
     logged = []
     reducing = DegradationMonitor(
@@ -192,13 +192,18 @@
         ends.count,
         lambda event, fields: logged.append((event, fields)),
     )
-    ends.dispatcher.reducing = reducing
+    ends.dispatcher.degradation = reducing
     for busy, sweeps in ((0.95, 10), (0.2, 80)):
         for _ in range(sweeps):
             ends.now += 0.1
-            ends.dispatcher.runs.gauges, ends.dispatcher.runs.gauged_at = (busy, 0, 1.0, 1), ends.now
-            ends.turn(messages.DeferredEvent(interface.TimerFired(0, None)), do=[interface.SetTimer(0.0, 0)])
-    told = [e.reduction for e in ends.heard if isinstance(e, interface.LevelChanged)]
+            ends.dispatcher.executions.gauges, ends.dispatcher.executions.gauges_at = (
+                (busy, 0, 1.0, 1),
+                ends.now,
+            )
+            ends.turn(
+                messages.DeferredEvent(interface.TimerFired(0, None)), actions=[interface.SetTimer(0.0, 0)]
+            )
+    told = [e.reduction for e in ends.events if isinstance(e, interface.LevelChanged)]
     on_trial = [
         interface.ServiceReduction(within_allowance_only=True, exempt_share=share)
         for share in (0.2, 0.4, 0.6, 0.8)
--- a/tests/degradation/test_signals.py
+++ b/tests/degradation/test_signals.py
@@ -48,8 +48,8 @@
         for step in range(int(10 * seconds)):
             now = start + step / 10
             for _ in range(3):
-                reducing.call_ended(now, interface.Outcome.DONE, took)
-            out += reducing.sweep(now, False)
+                reducing.record_call(now, interface.Outcome.DONE, took)
+            out += reducing.update(now, False)
         return out
 
     assert run(0.02, 30, 0.0) == []
@@ -57,5 +57,5 @@
     out = run(0.02, 20, 90.0)
     assert [e.reduction.exempt_share for e in out] == [0.2, 0.4, 0.6, 0.8, 0.0]
     assert out[-1] == interface.LevelChanged(interface.ServiceReduction())
-    assert reducing.figures(110.0)["now"] == "none"
-    assert reducing.figures(110.0)["in_slim_s"] > 50
+    assert reducing.status_fields(110.0)["now"] == "none"
+    assert reducing.status_fields(110.0)["in_slim_s"] > 50
--- a/tests/lab/test_fleet_trial.py
+++ b/tests/lab/test_fleet_trial.py
@@ -13,7 +13,7 @@
 import tomllib
 
 import pytest
-from helpers import Caller, Ends
+from helpers import Caller, DispatcherHarness
 from program_support import ROOT, answers, changed, submit
 
 from valeturn.admission import controller as rules_module
@@ -170,15 +170,18 @@
 
 
 def test_ever_new_ids_leave_the_owner_s_tables_empty():
-    ends = Ends()
+    ends = DispatcherHarness()
     for number in range(3000):
         caller = Caller()
-        _, call = ends.arrive("file", caller, do=[interface.Start])
+        _, call = ends.arrive("file", caller, actions=[interface.Start])
         ends.turn(executor_protocol.RunEnded(number + 1, call, executor_protocol.RunResult.DONE, 0.1, b"r"))
         assert caller.answers
     dispatcher = ends.dispatcher
     assert (
-        not dispatcher.open and not dispatcher.by_call and not dispatcher.by_stream and not dispatcher.checks
+        not dispatcher.pending
+        and not dispatcher.by_call_id
+        and not dispatcher.by_stream
+        and not dispatcher.health_checks
     )
 
 
--- a/tests/lab/test_floods.py
+++ b/tests/lab/test_floods.py
@@ -27,8 +27,8 @@
             "lost",
         ),
         (
-            """from valeturn.dispatch.deduplication_table import Repeats
-Repeats.repeated = lambda *_: None""",
+            """from valeturn.dispatch.deduplication_table import DeduplicationTable
+DeduplicationTable.original_of = lambda *_: None""",
             "twice",
         ),
         (
--- a/tests/result_store/test_idempotent_requests.py
+++ b/tests/result_store/test_idempotent_requests.py
@@ -1,7 +1,7 @@
 """Idempotent requests with a store: the dispatcher across kills, failing disks, shutdowns and duplicates."""
 
 import pytest
-from helpers import Caller, Ends
+from helpers import Caller, DispatcherHarness
 from memory_disk import Machine, seeded
 
 from valeturn.admission import interface
@@ -30,10 +30,10 @@
     def start(self, held=False):
         self.born += 1
         self.store = self.machine.start(held)
-        self.ends = Ends(kept=self.store, **self.changes)
-        self.ends.numbers = 1000 * self.born  # calls are new after a restart too
+        self.ends = DispatcherHarness(result_store=self.store, **self.changes)
+        self.ends.last_number = 1000 * self.born  # calls are new after a restart too
         if self.real:
-            self.ends.dispatcher.rules = AdmissionController(self.ends.settings, 1, self.ends.now)
+            self.ends.dispatcher.controller = AdmissionController(self.ends.settings, 1, self.ends.now)
 
     def restart(self, held=False):
         self.machine.kill()
@@ -41,7 +41,7 @@
 
     def arrive(self, mark="m", workload="book", do=None, caller=None, **changes):
         do = () if self.real else REMEMBERED if do is None else do
-        return self.ends.arrive(workload, caller or self.caller, do=do, idempotency_key=mark, **changes)
+        return self.ends.arrive(workload, caller or self.caller, actions=do, idempotency_key=mark, **changes)
 
     def disk(self, steps=None):
         """The helper does so many jobs, and the owner hears of them."""
@@ -49,7 +49,7 @@
         self.ends.turn(messages.StoreProgressed())
 
     def commands(self, kind="EXEC"):
-        return [line["rid"] for line in self.ends.lines if line["t"] == kind]
+        return [line["rid"] for line in self.ends.commands if line["t"] == kind]
 
 
 def codes(caller):
@@ -108,12 +108,14 @@
         world.disk()
         assert world.commands() == [again] and caller.answers == []
         return
-    assert world.ends.heard[-1].duplicate_of == 0 and world.commands() == []
+    assert world.ends.events[-1].duplicate_of == 0 and world.commands() == []
     world.disk()
     assert codes(caller) == [answered] and (answered != DELIVERED or caller.answers[0][2] == b"result")
     world.ends.turn()
     outcome = interface.Outcome.DONE if answered == DELIVERED else interface.Outcome.ERROR
-    assert world.ends.heard[-1] == interface.Ended(number, outcome, 0.0) and not world.ends.dispatcher.open
+    assert (
+        world.ends.events[-1] == interface.Ended(number, outcome, 0.0) and not world.ends.dispatcher.pending
+    )
 
 
 def test_one_key_on_three_connections_is_executed_once_over_a_restart():
@@ -122,7 +124,7 @@
     world.disk()
     for caller in callers[1:]:
         world.arrive(caller=caller, do=[interface.AnswerFromOriginal])
-        assert world.ends.heard[-1].duplicate_of == first
+        assert world.ends.events[-1].duplicate_of == first
     assert world.commands() == [call]
     world.ends.turn(over(call))
     assert [codes(caller) for caller in callers] == [[DELIVERED]] * 3
@@ -150,7 +152,7 @@
     assert [codes(caller) for caller in callers] == [[TURNED_BACK]] * 2 and world.commands() == []
     late = Caller()
     world.arrive(mark="other", caller=late)
-    assert codes(late) == [TURNED_BACK] and 0.9 <= late.retry_in <= 1.0, "the disk rests for a second"
+    assert codes(late) == [TURNED_BACK] and 0.9 <= late.retry_after <= 1.0, "the disk rests for a second"
     for _ in range(20):  # the disk takes writes again
         world.machine.pass_time(0.1)
         world.store.maintain()
@@ -164,9 +166,9 @@
     world = World(held=True)
     world.disk()
     number, call = world.arrive()
-    world.ends.turn(messages.SubmissionCancelled(world.caller, 1001), do=[interface.Interrupt(number)])
+    world.ends.turn(messages.SubmissionCancelled(world.caller, 1001), actions=[interface.Interrupt(number)])
     world.ends.turn()
-    assert world.ends.heard[-1] == interface.Ended(number, interface.Outcome.CANCELLED, 0.0)
+    assert world.ends.events[-1] == interface.Ended(number, interface.Outcome.CANCELLED, 0.0)
     world.disk()
     world.disk()
     assert world.commands() == [] and world.commands("KILL") == []
@@ -246,7 +248,7 @@
     world.store.worker.held = True  # a disk that hangs
     caller = Caller()
     number, _ = world.arrive(caller=caller, do=[interface.AnswerFromOriginal])
-    world.ends.turn(messages.DeferredEvent(interface.TimerFired(0, None)), do=[interface.Fail(number)])
+    world.ends.turn(messages.DeferredEvent(interface.TimerFired(0, None)), actions=[interface.Fail(number)])
     assert codes(caller) == [WRITTEN_OFF]
     world.disk()
     assert codes(caller) == [WRITTEN_OFF], "one answer"
@@ -258,7 +260,7 @@
     _, sent = world.arrive("sent")
     world.disk()
     world.arrive("on its way")
-    world.ends.fail_once()
+    world.ends.fail_next_decision()
     world.ends.turn(messages.DeferredEvent(interface.TimerFired(0, None)))
     world.disk()
     world.disk()
@@ -270,13 +272,13 @@
 
 def test_full_deduplication_table_without_store_rejects_requests():
     caller = Caller()
-    ends = Ends()
-    ends.dispatcher.rules = AdmissionController(ends.settings, 1, ends.now)
-    ends.dispatcher.repeating.table.most = 500
+    ends = DispatcherHarness()
+    ends.dispatcher.controller = AdmissionController(ends.settings, 1, ends.now)
+    ends.dispatcher.deduplication.table.max_bytes = 500
     for mark in ("a", "b"):
         ends.arrive("book", Caller(), idempotency_key=mark)
     ends.arrive("book", caller, idempotency_key="c")
-    assert codes(caller) == [TURNED_BACK] and caller.retry_in == 1.0 and len(ends.lines) == 2
+    assert codes(caller) == [TURNED_BACK] and caller.retry_after == 1.0 and len(ends.commands) == 2
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -307,7 +309,7 @@
         if step % 5 == 0:
             ends.turn(messages.DeferredEvent(interface.TimerFired(0, interface.Gauges())))
             world.store.maintain()
-        for line in ends.lines[seen:]:
+        for line in ends.commands[seen:]:
             if line["t"] == "EXEC":
                 mark = streams[line["rid"]][1]
                 assert mark not in effects, "an effect ran twice"
@@ -316,7 +318,7 @@
                 running.pop(line["rid"])
                 notices += 1
                 ends.turn(over(line["rid"], RunResult.STOPPED, b"", notices))
-        seen = len(ends.lines)
+        seen = len(ends.commands)
         for call in sorted(running):
             if chance.random() < 0.1:
                 mark = running.pop(call)
--- a/valeturn/dispatch/__init__.py
+++ b/valeturn/dispatch/__init__.py
@@ -1,1 +1,4 @@
-"""Between the sockets and the module: one task owns the module, all others reach it through its queue."""
+"""Connects sockets to the admission controller.
+
+One task, the dispatcher, owns the controller; all other tasks reach it through the dispatcher's queue.
+"""
--- a/valeturn/dispatch/deduplication.py
+++ b/valeturn/dispatch/deduplication.py
@@ -1,212 +1,283 @@
-"""Repeats: which submission a newcomer repeats, who waits for whose end, and what the store is told.
+"""Deduplication: which submission a new one duplicates, which wait for the same result, and the result store.
 
-In memory, the table of `repeats` knows what this process let in. With a store, what ended is handed over to
-it and leaves the table; it also knows what came before the process. Decides nothing: the module is told what
-is so.
+In memory, `deduplication_table` knows what this process accepted. With a result store, executions that ended
+are handed over to the store and leave the table; the store also knows what came before this process. Nothing
+is decided here: the admission controller is only told what is a duplicate of what.
 """
 
 from __future__ import annotations
 
 from ..admission import interface
 from . import messages
-from .deduplication_table import UNREAD, Repeats
-from .pending_request import NOTED
+from .deduplication_table import MIN_READ_DELAY_S, DeduplicationTable
+from .pending_request import LOGGING_INTENT
 
-IN_STORE = 0  # what the module is told that a newcomer repeats, where only the store knows it; ids begin at 1
+# `duplicate_of` of a submission whose original only the store knows; numbers of submissions begin at 1.
+IN_STORE = 0
 
 
 class Deduplication:
-    def __init__(self, dispatcher, most, kept=None):
-        self.dispatcher, self.kept = dispatcher, kept
-        # A repeat can be read as late as it is due, and what is due is at most a cut-off old.
-        longest = max(
+    """Recognises duplicates for a dispatcher and answers them from their original; acts in its turns only."""
+
+    def __init__(self, dispatcher, max_bytes, result_store=None):
+        """Begin with an empty table.
+
+        Args:
+            dispatcher: The dispatcher that this belongs to.
+            max_bytes: Memory that the table may take.
+            result_store: The store on disk, or None.
+        """
+        self.dispatcher, self.result_store = dispatcher, result_store
+        # A duplicate can be read as late as it is due, and a pending submission is at most a timeout old.
+        longest_timeout = max(
             (
-                w.timeout
-                for w in dispatcher.settings.workloads
-                if w.effect is not interface.Effect.UNREPEATABLE
+                workload.timeout
+                for workload in dispatcher.settings.workloads
+                if workload.effect is not interface.Effect.UNREPEATABLE
             ),
             default=0.0,
         )
-        unread = max(UNREAD, longest + dispatcher.settings.answer_slack)
-        self.table, self.batch, self.joiners = Repeats(most, unread), {}, {}
-
-    # ---- newcomers
-
-    def key_of(self, s, workload, w):
-        """What a repeat shares with the one it repeats: the mark of a deduplicated one, else what is read."""
-        if w.effect is interface.Effect.DEDUPLICATED:
-            return None if s.idempotency_key is None else (workload, s.idempotency_key)
-        reads = w.effect is interface.Effect.IDEMPOTENT and self.dispatcher.settings.result_lifetime > 0
-        return (workload, s.subject) if reads and s.subject is not None else None
-
-    def fingerprint(self, sub):
-        """What repeats of a deduplicated submission have in common with it beside the mark. Reads differ."""
-        return hash((sub.tenant, sub.body)) if sub.w.effect is interface.Effect.DEDUPLICATED else None
-
-    def mark_reused(self, now, sub, waited):
-        """True where its mark is that of another submission: not a repeat, so that it must not be given the
-        other's result; and nothing may run twice under one mark."""
-        if sub.key is None or sub.w.effect is not interface.Effect.DEDUPLICATED:
+        read_delay_s = max(MIN_READ_DELAY_S, longest_timeout + dispatcher.settings.answer_slack)
+        # `turn_keys`: key -> first submission with it in this turn. The controller decides at the end of a
+        # turn, so these keys are not in the table yet.
+        # `coalesced`: submission -> submissions that wait for its result.
+        self.table, self.turn_keys, self.coalesced = DeduplicationTable(max_bytes, read_delay_s), {}, {}
+
+    # ---- new submissions
+
+    def key_of(self, submission, workload, workload_settings):
+        """Return what a submission has in common with its duplicates, or None where there are none.
+
+        That is the idempotency key of deduplicated work, and the subject of idempotent work whose results may
+        be shared.
+        """
+        if workload_settings.effect is interface.Effect.DEDUPLICATED:
+            return None if submission.idempotency_key is None else (workload, submission.idempotency_key)
+        shared = (
+            workload_settings.effect is interface.Effect.IDEMPOTENT
+            and self.dispatcher.settings.result_lifetime > 0
+        )
+        return (workload, submission.subject) if shared and submission.subject is not None else None
+
+    def fingerprint(self, pending):
+        """Return what duplicates of deduplicated work have in common beside the key; None for other work.
+
+        Idempotent submissions of one subject may differ in their bodies.
+        """
+        return (
+            hash((pending.tenant, pending.body))
+            if pending.workload_settings.effect is interface.Effect.DEDUPLICATED
+            else None
+        )
+
+    def key_reused(self, now, pending, waited):
+        """Return whether its idempotency key belongs to a submission with another tenant or body.
+
+        Such a submission is no duplicate, so it must not get the other's result; and nothing may run twice
+        under one key.
+        """
+        if pending.key is None or pending.workload_settings.effect is not interface.Effect.DEDUPLICATED:
             return False
-        fingerprint, first = self.fingerprint(sub), self.dispatcher.open.get(self.batch.get(sub.key))
-        return self.table.reused(sub.key, now - waited, fingerprint) or (
+        fingerprint, first = (
+            self.fingerprint(pending),
+            self.dispatcher.pending.get(self.turn_keys.get(pending.key)),
+        )
+        return self.table.reused(pending.key, now - waited, fingerprint) or (
             first is not None and self.fingerprint(first) != fingerprint
         )
 
-    def newcomer(self, now, sub, waited):
-        """(the id that it repeats, or None; seconds until a repeat of it could be told apart, 0 where now)"""
-        if sub.key is None:
+    def find_original(self, now, pending, waited):
+        """Look up the submission that a new one duplicates; if there is none, reserve room in the store.
+
+        Args:
+            now: The time of the turn.
+            pending: The new submission.
+            waited: Seconds since it reached the machine.
+
+        Returns:
+            (the number of the original, IN_STORE or None; seconds until duplicates of the new submission
+            could be recognised, 0 where they are from now on)
+        """
+        if pending.key is None:
             return None, 0.0
-        repeats = self.table.repeated(sub.key, now - waited) or self.batch.get(sub.key)
-        self.batch.setdefault(sub.key, sub.number)
-        if sub.w.effect is not interface.Effect.DEDUPLICATED:
-            return repeats, 0.0
-        if self.kept is None:
-            return repeats, 0.0 if repeats is not None else self.table.room_in(now, len(self.batch))
-        sub.digest = self.kept.key_digest(sub.workload, sub.key[1])
-        if repeats is not None:
-            return repeats, 0.0
-        meets = self.kept.look_up(sub.digest, waited)
-        if meets.outcome == "execute":
-            room_in = self.kept.retry_after()
-            if not room_in:
-                self.kept.reserve(sub.number)
-            return None, room_in
-        if meets.outcome == "coalesce" and meets.entry.request_id in self.dispatcher.open:
-            return meets.entry.request_id, 0.0
+        original = self.table.original_of(pending.key, now - waited) or self.turn_keys.get(pending.key)
+        self.turn_keys.setdefault(pending.key, pending.number)
+        if pending.workload_settings.effect is not interface.Effect.DEDUPLICATED:
+            return original, 0.0
+        if self.result_store is None:
+            return original, 0.0 if original is not None else self.table.room_in(now, len(self.turn_keys))
+        pending.key_digest = self.result_store.key_digest(pending.workload, pending.key[1])
+        if original is not None:
+            return original, 0.0
+        stored = self.result_store.look_up(pending.key_digest, waited)
+        if stored.outcome == "execute":
+            ready_in = self.result_store.retry_after()
+            if not ready_in:
+                self.result_store.reserve(pending.number)
+            return None, ready_in
+        if stored.outcome == "coalesce" and stored.entry.request_id in self.dispatcher.pending:
+            return stored.entry.request_id, 0.0
         self.dispatcher.count("store.repeats")
-        sub.meets = meets
+        pending.stored = stored
         return IN_STORE, 0.0
 
-    def do_remember(self, now, a):
-        sub = self.dispatcher.open.get(a.id)
-        if sub is None or sub.key is None:
+    # ---- actions of the admission controller
+
+    def apply_store_key(self, now, action):
+        """Keep the submission's key, so that its duplicates are recognised."""
+        pending = self.dispatcher.pending.get(action.id)
+        if pending is None or pending.key is None:
             return
-        sub.lasting_to = now + a.lifetime
-        if not self.table.keep(a.id, sub.key, now + a.lifetime, self.fingerprint(sub)):
+        pending.key_valid_until = now + action.lifetime
+        if not self.table.keep(action.id, pending.key, now + action.lifetime, self.fingerprint(pending)):
             self.dispatcher.count("repeats.no_room")
 
-    def do_forget(self, now, a):
-        self.table.remove(a.id)
+    def apply_forget(self, now, action):
+        """Remove a submission's key from the table."""
+        self.table.remove(action.id)
 
-    def do_answer_from(self, now, a):
-        sub = self.dispatcher.open.get(a.id)
-        if sub is None:
+    def apply_answer_from_original(self, now, action):
+        """Answer a duplicate with its original's result, now or when there is one."""
+        pending = self.dispatcher.pending.get(action.id)
+        if pending is None:
             return
-        if sub.meets is not None:
-            self.answer_from_store(sub)
-        elif sub.repeats in self.dispatcher.open:
-            self.joiners.setdefault(sub.repeats, []).append(a.id)
+        if pending.stored is not None:
+            self.answer_from_store(pending)
+        elif pending.duplicate_of in self.dispatcher.pending:
+            self.coalesced.setdefault(pending.duplicate_of, []).append(action.id)
         else:
-            entry = self.table.by_number.get(sub.repeats)
-            self.end_joined(sub, entry.result if entry is not None else None)
-
-    def answer_from_store(self, sub):
-        """A result that is not at hand is read beside the loop and comes as news; no result is told at
-        once."""
-        if sub.meets.outcome != "answer":
-            self.end_joined(sub, None)
+            entry = self.table.by_number.get(pending.duplicate_of)
+            self.answer_duplicate(pending, entry.result if entry is not None else None)
+
+    def answer_from_store(self, pending):
+        """Answer a duplicate whose original only the store knows.
+
+        A result that is not in memory is read by the worker thread, and the answer is sent when the store
+        reports it. Where there is no result the duplicate fails at once.
+        """
+        if pending.stored.outcome != "answer":
+            self.answer_duplicate(pending, None)
             return
-        body = self.kept.fetch_result(sub.number, sub.meets)
+        body = self.result_store.fetch_result(pending.number, pending.stored)
         if body is not None:
             self.dispatcher.count("store.answered")
-            self.end_joined(sub, body)
+            self.answer_duplicate(pending, body)
+
+    # ---- ended executions
 
-    # ---- ends
+    def end_coalesced(self, pending, result):
+        """Answer all that wait for an original whose execution ended, or that ended without one.
 
-    def end_joiners(self, sub, result):
-        """Its run is over, or it is over without one; result is None where there is none."""
-        self.table.ended(sub.number, result)
-        if self.kept is not None and sub.noted:
-            sub.noted = False
-            given = self.DONE if result is not None else self.ENDED
-            self.kept.end_execution(sub.number, sub.digest, given, result)
-            self.table.remove(sub.number)  # the store knows it from here on
-        for number in self.joiners.pop(sub.number, ()):
-            self.end_joined(self.dispatcher.open.get(number), result)
+        Args:
+            pending: The original.
+            result: Its result, or None where there is none.
+        """
+        self.table.ended(pending.number, result)
+        if self.result_store is not None and pending.intent_logged:
+            pending.intent_logged = False
+            store_input = self.SUCCEEDED if result is not None else self.ENDED_WITHOUT_RESULT
+            self.result_store.end_execution(pending.number, pending.key_digest, store_input, result)
+            self.table.remove(pending.number)  # from here on the store knows it
+        for number in self.coalesced.pop(pending.number, ()):
+            self.answer_duplicate(self.dispatcher.pending.get(number), result)
 
-    DONE, ENDED, UNBEGUN = 3, 4, 5  # inputs of store.entry, which is not loaded where there is no store
+    # Inputs of result_store.entry_states, which is not loaded where there is no store.
+    SUCCEEDED, ENDED_WITHOUT_RESULT, NEVER_STARTED = 3, 4, 5
 
-    def end_joined(self, sub, result):
-        if sub is None or sub.answered:
+    def answer_duplicate(self, pending, result):
+        """Answer a duplicate, if it is not answered yet; the controller is told in the next turn."""
+        if pending is None or pending.answered:
             return
         if result is None:
-            self.dispatcher.answer(sub, "written_off")
+            self.dispatcher.answer(pending, "written_off")
         else:
-            self.dispatcher.answer(sub, "delivered", result)
-        self.dispatcher.drop(sub)
+            self.dispatcher.answer(pending, "delivered", result)
+        self.dispatcher.remove(pending)
         outcome = interface.Outcome.ERROR if result is None else interface.Outcome.DONE
-        self.dispatcher.put_later(messages.DeferredEvent(interface.Ended(sub.number, outcome, 0.0)))
+        self.dispatcher.put_later(messages.DeferredEvent(interface.Ended(pending.number, outcome, 0.0)))
 
-    # ---- the store
+    # ---- the result store
 
-    def note_first(self, sub):
-        """True where its intent must be durable before it is sent, and is on its way now."""
-        if self.kept is None or sub.digest is None or sub.noted:
+    def log_intent_first(self, pending):
+        """Return whether the intent must be durable before the start is sent; if so, begin to write it."""
+        if self.result_store is None or pending.key_digest is None or pending.intent_logged:
             return False
-        lasting = max(0.0, sub.lasting_to - self.dispatcher.scheduler.clock())
-        self.kept.log_intent(sub.number, sub.digest, lasting, bytes.fromhex(sub.call), sub.workload)
+        lifetime = max(0.0, pending.key_valid_until - self.dispatcher.scheduler.clock())
+        self.result_store.log_intent(
+            pending.number, pending.key_digest, lifetime, bytes.fromhex(pending.call_id), pending.workload
+        )
         return True
 
-    def never_began(self, sub):
-        """Proved: a repeat of it may run."""
-        if self.kept is not None and sub.digest is not None:
-            sub.noted = False
-            self.kept.end_execution(sub.number, sub.digest, self.UNBEGUN)
-            self.table.remove(sub.number)
-
-    def dropped(self, sub):
-        """Nothing is kept of it here any more."""
-        if self.kept is not None and sub.digest is not None:
-            self.kept.release(sub.number)
-            if sub.run == NOTED:
-                self.never_began(sub)
-            if sub.noted:
-                sub.noted = False
-                self.kept.end_execution(sub.number, sub.digest, self.ENDED)
-
-    def on_disk_news(self, now, m):
-        for kind, number, body in self.kept.collect():
+    def never_started(self, pending):
+        """Note that it is proved that the execution never began: a duplicate of it may run."""
+        if self.result_store is not None and pending.key_digest is not None:
+            pending.intent_logged = False
+            self.result_store.end_execution(pending.number, pending.key_digest, self.NEVER_STARTED)
+            self.table.remove(pending.number)
+
+    def release(self, pending):
+        """Release what the store holds for a submission that is no longer pending."""
+        if self.result_store is not None and pending.key_digest is not None:
+            self.result_store.release(pending.number)
+            if pending.state == LOGGING_INTENT:
+                self.never_started(pending)
+            if pending.intent_logged:
+                pending.intent_logged = False
+                self.result_store.end_execution(pending.number, pending.key_digest, self.ENDED_WITHOUT_RESULT)
+
+    def on_store_progressed(self, now, message):
+        """Take up what the store's worker thread has finished."""
+        for kind, number, body in self.result_store.collect():
             if kind == "intent_durable":
-                self.dispatcher.runs.on_noted(number)
+                self.dispatcher.executions.on_intent_durable(number)
             elif kind == "intent_lost":
                 self.dispatcher.count("store.not_noted")
-                self.dispatcher.runs.not_noted(number)
+                self.dispatcher.executions.on_intent_lost(number)
             else:
-                sub = self.dispatcher.open.get(number)
+                pending = self.dispatcher.pending.get(number)
                 self.dispatcher.count("store.answered" if body is not None else "store.no_answer")
-                self.end_joined(sub, body)
+                self.answer_duplicate(pending, body)
 
-    def told(self, call, outcome, result):
-        """The executor tells how a run from before a restart ended. False where nothing is known of it."""
-        if self.kept is None:
+    def end_unfinished(self, call_id, outcome, result):
+        """Store how an execution from before a restart ended, as the executor reports.
+
+        Returns:
+            False where the store knows of no such execution.
+        """
+        if self.result_store is None:
             return False
-        given = {interface.Outcome.DONE: self.DONE, interface.Outcome.MOOT: self.UNBEGUN}.get(
-            outcome, self.ENDED
+        store_input = {
+            interface.Outcome.DONE: self.SUCCEEDED,
+            interface.Outcome.MOOT: self.NEVER_STARTED,
+        }.get(outcome, self.ENDED_WITHOUT_RESULT)
+        execution_id = self.execution_id(call_id)
+        return execution_id is not None and self.result_store.end_unfinished(
+            execution_id, store_input, result
         )
-        number = self.number_of(call)
-        return number is not None and self.kept.end_unfinished(number, given, result)
 
-    def unsettled(self, call):
-        number = self.number_of(call)
-        return None if number is None else self.kept.unfinished_class(number)
+    def unfinished_workload(self, call_id):
+        """Return the name of the workload of an unfinished execution from before a restart, or None."""
+        execution_id = self.execution_id(call_id)
+        return None if execution_id is None else self.result_store.unfinished_class(execution_id)
 
     @staticmethod
-    def number_of(call):
+    def execution_id(call_id):
+        """Return the store's id of an execution, or None where the executor sent something else."""
         try:
-            return bytes.fromhex(call)
+            return bytes.fromhex(call_id)
         except (TypeError, ValueError):
             return None
 
-    # ---- the owner's turns
+    # ---- the dispatcher's turns
 
     def expire(self, now):
+        """Remove expired entries and let the store do its regular work."""
         self.table.expire(now)
-        if self.kept is not None:
-            self.kept.maintain()
-
-    def turn_ends(self):
-        """All intents of a turn go to the disk in one write."""
-        self.batch = {}
-        if self.kept is not None:
-            self.kept.flush()
+        if self.result_store is not None:
+            self.result_store.maintain()
+
+    def end_turn(self):
+        """End a turn: all its intents go to the disk in one write."""
+        self.turn_keys = {}
+        if self.result_store is not None:
+            self.result_store.flush()
--- a/valeturn/dispatch/dispatcher.py
+++ b/valeturn/dispatch/dispatcher.py
@@ -1,8 +1,8 @@
-"""Owns the module: takes all that is due, has it decide once, carries its actions out in order.
+"""Owns the admission controller: gathers all that is due, has it decide once, and carries its actions out.
 
-Decides nothing. Here: the turn, what arrives, answers, health. Beside it `runs` (what was sent to the
-executor and what of that is in doubt) and `repeating` (who repeats whom, and the store); both act in the
-owner's turns alone.
+Nothing is decided here. This module holds the loop, incoming messages, answers and health. Beside it
+`executions` holds what was sent to the executor and what of that is in doubt, and `deduplication` holds which
+submission duplicates which, and the result store; both act in the dispatcher's turns only.
 """
 
 from __future__ import annotations
@@ -17,33 +17,35 @@
 from . import messages
 from .deduplication import Deduplication
 from .executions import Executions
-from .pending_request import DOUBTED, IDLE, UNSENT, PendingRequest
+from .pending_request import IN_DOUBT, NOT_RUNNING, UNSENT, PendingRequest
 
-GAUGES_AHEAD = 0.005  # s before a wake-up that its gauges are asked for: the answer took 0.3 ms, 1 at most
-GAUGES_LAST = 0.3  # s that gauges count as the moment's: three sweeps, so that one late answer is bridged
-CHECK_PATIENCE = 1.0  # s for a deep check: what takes longer is no good server either
-CHECKS = 64  # deep checks out at once: a large fleet's gateways in one second; past it the setting answers
+GAUGES_LEAD_S = 0.005  # seconds before a timer that its gauges are requested: a report took 0.3 ms, 1 at most
+GAUGES_MAX_AGE_S = 0.3  # seconds that gauges count as current: three reports, so that one may be late
+HEALTH_CHECK_TIMEOUT_S = 1.0  # seconds for a deep check: a server that takes longer is not healthy either
+# Deep checks at once: as many as a large fleet's gateways send in one second. Past it the state that the
+# controller set answers.
+MAX_HEALTH_CHECKS = 64
 
-# What a front's connection is asked for, by the name that an answer is counted under.
+# The method of a gateway connection that sends an answer, by the name that the answer is counted under.
 ANSWERS = {
     "delivered": "deliver",
-    "turned_back": "turn_back",
-    "written_off": "write_off",
-    "unasked_end": "write_off",
+    "turned_back": "reject",
+    "written_off": "fail",
+    "unasked_end": "fail",
 }
 
 
 class Collaborators(NamedTuple):
-    """Whom the owner speaks with."""
+    """The other parties that the dispatcher speaks with."""
 
-    link: object  # the executor's
+    executor: object
     ledger: object
     gateways: object
-    reporter: object
+    registry: object
 
 
 class Instrumentation(NamedTuple):
-    """Where it tells what happens: count(name), times.add(name, seconds), log(event, fields)."""
+    """Where the dispatcher reports: count(name), times.add(name, seconds), log(event, fields)."""
 
     count: object
     times: object
@@ -51,404 +53,515 @@
 
 
 class Dispatcher:
+    """Runs the admission controller in turns and carries out what it decides.
+
+    In a turn it takes all waiting messages, fires the timers that are due, hands all events to the controller
+    at once and carries out the actions that it returns. Times are seconds of the scheduler's clock.
+    """
+
     def __init__(
         self,
         scheduler,
-        names,
-        bounds,
-        pace,
-        make_rules,
-        parties,
-        telling,
-        kept=None,
-        reducing=None,
-        sharing=None,
+        decoded_settings,
+        limits,
+        pacing,
+        make_controller,
+        collaborators,
+        instrumentation,
+        result_store=None,
+        degradation=None,
+        call_quota=None,
     ):
-        self.scheduler, self.pace, self.make_rules = scheduler, pace, make_rules
-        self.names, self.settings = names, names.settings
-        self.link, self.ledger, self.gateways, self.reporter = parties
-        self.count, self.times, self.log = telling
-        self.most_open, self.mailbox = bounds.submissions, Mailbox(scheduler, bounds.messages)
-        self.rules, self.numbers = None, 0
-        self.open, self.by_call, self.by_stream = {}, {}, {}
-        self.wakes, self.asked = [], 0.0
-        self.runs, self.repeating = Executions(self), Deduplication(self, bounds.results, kept)
-        self.healthy, self.shallow, self.load, self.checks = False, True, None, {}
-        self.cold, self.warm_since, self.stopped = False, 0.0, False
-        self.leave, self.events, self.trace, self.reducing = None, [], None, reducing
-        self.sharing = sharing
-        self.takes, self.does = self.tables()
+        """Connect the parts; the controller is made when the executor has connected.
+
+        Args:
+            scheduler: Clock, tasks and timers.
+            decoded_settings: The settings and the names that the wire uses for workloads, tenants and gauges.
+            limits: Bounds on submissions, queued messages and the memory for results.
+            pacing: A `TurnPacing`, which says how long to wait between turns.
+            make_controller: (executor cold, its age in seconds) -> a new admission controller.
+            collaborators: The executor, the ledger, the gateways and the registry.
+            instrumentation: Where to count and log.
+            result_store: The result store on disk, or None.
+            degradation: A `DegradationMonitor`, or None.
+            call_quota: A `CallQuotaMonitor`, or None.
+        """
+        self.scheduler, self.pacing, self.make_controller = scheduler, pacing, make_controller
+        self.decoded_settings, self.settings = decoded_settings, decoded_settings.settings
+        self.executor, self.ledger, self.gateways, self.registry = collaborators
+        self.count, self.times, self.log = instrumentation
+        self.max_pending, self.mailbox = limits.submissions, Mailbox(scheduler, limits.messages)
+        # Without a controller all submissions are rejected. Submissions are numbered from 1.
+        self.controller, self.last_number = None, 0
+        # Pending submissions by number, by call id, and by (connection, stream) until they are answered.
+        self.pending, self.by_call_id, self.by_stream = {}, {}, {}
+        # A heap of (time, timer); the time of the timer that gauges were requested for last.
+        self.timers, self.gauges_requested_for = [], 0.0
+        self.executions, self.deduplication = (
+            Executions(self),
+            Deduplication(self, limits.results, result_store),
+        )
+        # Health as the controller sets it, and whether deep checks are answered like shallow ones; the load
+        # value sent with answers; deep checks under way: token -> (connection, stream).
+        self.healthy, self.shallow, self.advertised_load, self.health_checks = False, True, None, {}
+        self.started_cold, self.warm_since, self.stopped = False, 0.0, False
+        # (when, DrainStarted) once a drain was requested; events of this turn; logs each answer, if set.
+        self.drain, self.events, self.trace, self.degradation = None, [], None, degradation
+        self.call_quota = call_quota
+        self.message_handlers, self.action_handlers = self.handler_tables()
 
     def unanswered_count(self):
-        return sum(not sub.answered for sub in self.open.values())
+        """Return how many pending submissions have no answer yet."""
+        return sum(not pending.answered for pending in self.pending.values())
 
     def call_count(self):
-        """Submissions that have a call out, or wait to have one."""
-        return sum(sub.notice is not None for sub in self.open.values())
+        """Return how many submissions have a call under way, or wait for permission to make one."""
+        return sum(pending.call_request is not None for pending in self.pending.values())
 
     def gauges(self):
-        """How many submissions are open, owed and running, and how old the gauges are."""
-        subs = self.open.values()
+        """Return counts of pending submissions by state, the age of the gauges in seconds, and health."""
+        pending_requests = self.pending.values()
         return {
-            "open": len(subs),
+            "open": len(pending_requests),
             "owed": self.unanswered_count(),
-            "running": sum(sub.run not in UNSENT for sub in subs),
-            "in_doubt": sum(sub.run == DOUBTED for sub in subs),
+            "running": sum(pending.state not in UNSENT for pending in pending_requests),
+            "in_doubt": sum(pending.state == IN_DOUBT for pending in pending_requests),
             "at_calls": self.call_count(),
-            "gauges_age_s": self.scheduler.clock() - self.runs.gauged_at,
+            "gauges_age_s": self.scheduler.clock() - self.executions.gauges_at,
             "good": int(self.healthy),
         }
 
     # ---- the loop
 
     def put(self, message):
+        """Put a message into the queue; waits while the queue is full."""
         self.mailbox.put(message)
 
     def run(self):
+        """Run turns for ever, as a task."""
         while True:
-            self.turn(self.mailbox.take_all(self.next_due()))
-            gap = self.pace.gap()
-            if gap:
+            self.turn(self.mailbox.take_all(self.next_timeout()))
+            pause_s = self.pacing.pause_s()
+            if pause_s:
                 self.count("core.paced")
-                self.scheduler.sleep(gap)
+                self.scheduler.sleep(pause_s)
 
-    def next_due(self):
-        if not self.wakes or self.rules is None:
+    def next_timeout(self):
+        """Return the seconds until a timer is due or its gauges are to be requested; None without timers."""
+        if not self.timers or self.controller is None:
             return None
-        when = self.wakes[0][0]
-        return max(0.0, (when if self.asked >= when else when - GAUGES_AHEAD) - self.scheduler.clock())
+        when = self.timers[0][0]
+        return max(
+            0.0,
+            (when if self.gauges_requested_for >= when else when - GAUGES_LEAD_S) - self.scheduler.clock(),
+        )
 
-    def turn(self, taken):
+    def turn(self, received):
+        """Run one turn; after a fault of its own, begin anew with a new controller."""
         now = self.scheduler.clock()
         try:
-            self.take(now, taken)
-        except Exception as error:  # what was heard in it may never reach the module: that begins anew
-            self.module_failed(now, error)
+            self.process(now, received)
+        except Exception as error:  # events of this turn may never reach the controller: it begins anew
+            self.controller_failed(now, error)
 
-    def take(self, now, taken):
+    def process(self, now, received):
+        """Handle the messages and timers of a turn, and have the controller decide."""
         self.events = []
-        for message in taken:
-            self.carry(self.takes, now, message)
-        self.meet_wakes(now)
-        if self.sharing is not None:
-            self.events[:0] = self.sharing.events()
+        for message in received:
+            self.handle(self.message_handlers, now, message)
+        self.fire_timers(now)
+        if self.call_quota is not None:
+            self.events[:0] = self.call_quota.pending_events()
         self.decide(now)
-        self.repeating.turn_ends()
+        self.deduplication.end_turn()
 
     def decide(self, now):
-        if self.rules is None or not self.events:
+        """Hand the events to the controller and carry out its actions."""
+        if self.controller is None or not self.events:
             return
         self.count("core.turns")
         try:
-            actions = self.rules.decide(now, self.events)
+            actions = self.controller.decide(now, self.events)
             self.times.add("decide", self.scheduler.clock() - now)
         except Exception as error:
-            self.module_failed(now, error)
+            self.controller_failed(now, error)
             return
         for action in actions:
-            self.carry(self.does, now, action)
+            self.handle(self.action_handlers, now, action)
 
-    def carry(self, table, now, item):
-        """A fault with one message or action is told and ends there; the others are carried out."""
+    def handle(self, handlers, now, item):
+        """Handle one message or action; a fault with it is logged, and the others are still handled."""
         try:
-            table[type(item)](now, item)
+            handlers[type(item)](now, item)
         except Exception as error:
             self.count("errors.core")
             self.log("core_fault", {"item": type(item).__name__}, fault=error)
             if isinstance(item, messages.SubmissionReceived):
-                self.arrival_failed(item.connection, item.submission.stream)
+                self.submission_failed(item.connection, item.submission.stream)
+
+    def submission_failed(self, connection, stream):
+        """Reject a submission whose handling failed; it never ran.
 
-    def arrival_failed(self, connection, stream):
-        """It never ran; one that was let in half way is not left behind, to be answered again."""
-        sub = self.by_stream.get((connection, stream))
-        if sub is None:
-            connection.turn_back(stream, self.load)
+        One that was accepted half way is removed too, or it would be answered a second time.
+        """
+        pending = self.by_stream.get((connection, stream))
+        if pending is None:
+            connection.reject(stream, self.advertised_load)
         else:
-            self.events.append(interface.CallerGone(sub.number))
-            self.answer(sub, "turned_back")
-            self.drop(sub)
-
-    def meet_wakes(self, now):
-        if self.wakes and self.asked < self.wakes[0][0] <= now + GAUGES_AHEAD:
-            self.asked = self.wakes[0][0]
-            self.runs.ask_gauges(now)
+            self.events.append(interface.CallerGone(pending.number))
+            self.answer(pending, "turned_back")
+            self.remove(pending)
+
+    def fire_timers(self, now):
+        """Request gauges for the next timer, and add an event for each timer that is due."""
+        if self.timers and self.gauges_requested_for < self.timers[0][0] <= now + GAUGES_LEAD_S:
+            self.gauges_requested_for = self.timers[0][0]
+            self.executions.request_gauges(now)
         due = {}
-        while self.wakes and self.wakes[0][0] <= now:
-            when, mark = heapq.heappop(self.wakes)
-            due.setdefault(mark, when)  # after a pause one wake-up of a mark stands for all
+        while self.timers and self.timers[0][0] <= now:
+            when, timer = heapq.heappop(self.timers)
+            due.setdefault(timer, when)  # after a pause a timer that is due several times fires once
         if due:
             self.times.add("wake_late", now - min(due.values()))
-        for mark in due:
-            fresh = now - self.runs.gauged_at <= GAUGES_LAST
+        for timer in due:
+            fresh = now - self.executions.gauges_at <= GAUGES_MAX_AGE_S
             self.events.append(
-                interface.TimerFired(mark, self.names.gauges(self.runs.gauges if fresh else ()))
+                interface.TimerFired(
+                    timer, self.decoded_settings.gauges(self.executions.gauges if fresh else ())
+                )
             )
-        if due and self.reducing is not None:
-            self.reducing.gauged(now, self.names.gauges(self.runs.gauges)) if fresh else None
-            self.events += self.reducing.sweep(now, self.is_cold(now))
+        if due and self.degradation is not None:
+            self.degradation.record_gauges(
+                now, self.decoded_settings.gauges(self.executions.gauges)
+            ) if fresh else None
+            self.events += self.degradation.update(now, self.is_warming_up(now))
         if due:
-            self.repeating.expire(now)
-            self.link.check()
+            self.deduplication.expire(now)
+            self.executor.check()
 
-    def is_cold(self, now):
-        """While it warms up a server's own cores tell of nothing but that."""
-        return self.cold and now - self.warm_since < self.settings.warm_up_time
+    def is_warming_up(self, now):
+        """Return whether the server warms up: its own cores are busy then, whatever the load."""
+        return self.started_cold and now - self.warm_since < self.settings.warm_up_time
 
-    def module_failed(self, now, error):
-        """Answers what is owed as truthfully as is known, and goes on with a module that knows nothing."""
+    def controller_failed(self, now, error):
+        """Answer all that is pending as truthfully as is known, and go on with a new controller."""
         self.log("module_failed", fault=error)
         self.count("core.module_failed")
-        self.settle_all()
-        self.rules, self.healthy = None, False
+        self.answer_all()
+        self.controller, self.healthy = None, False
         try:
-            self.start_module(now, False, 0.0)
-        except Exception as again:  # without a module all is turned back and health is not good
+            self.start_controller(now, False, 0.0)
+        except Exception as again:  # without a controller all is rejected and the server is not healthy
             self.log("module_failed", fault=again)
 
-    def settle_all(self):
-        """The one final answer for each that is owed one, as truthful as is known."""
-        for sub in list(self.open.values()):
-            if not sub.ran and sub.w.effect is not interface.Effect.DEDUPLICATED:
-                self.answer(sub, "turned_back")
+    def answer_all(self):
+        """Give each unanswered submission its one final answer, as truthfully as is known, and remove all."""
+        for pending in list(self.pending.values()):
+            if (
+                not pending.may_have_run
+                and pending.workload_settings.effect is not interface.Effect.DEDUPLICATED
+            ):
+                self.answer(pending, "turned_back")
             else:
-                self.answer(sub, "written_off")
-            self.ledger.give_up(sub.number)
-            if sub.run not in UNSENT and self.settings.interruption is not interface.Interruption.UNSUPPORTED:
-                self.link.send(executor_protocol.interrupt(sub.call))
-            self.drop(sub)
-
-    def on_stopping(self, now, m):
-        """The process ends in a moment. The module has answered all by now, unless the time from the notice
-        to the stop is shorter than it looks around; from here on nothing is let in."""
+                self.answer(pending, "written_off")
+            self.ledger.cancel(pending.number)
+            if (
+                pending.state not in UNSENT
+                and self.settings.interruption is not interface.Interruption.UNSUPPORTED
+            ):
+                self.executor.send(executor_protocol.interrupt(pending.call_id))
+            self.remove(pending)
+
+    def on_stop_requested(self, now, message):
+        """Answer what is still pending, as the process ends in a moment, and accept nothing from here on.
+
+        The controller has answered all by now, unless the time from the notice to the stop is shorter than
+        the time between its timers.
+        """
         if self.unanswered_count():
             self.count("core.settled_at_stop", self.unanswered_count())
-        self.settle_all()
-        self.rules, self.healthy, self.wakes, self.stopped = None, False, [], True
-
-    def start_module(self, now, cold, age):
-        """A notice to leave that came before is told as of then: the grace counts from the notice."""
-        when, notice = self.leave if self.leave is not None else (now, None)
-        rules, self.wakes = self.make_rules(cold, age), []
-        self.cold, self.warm_since = cold or self.settings.starts_cold, now - age
-        told = [] if self.reducing is None else [self.reducing.event()]
-        told += [] if self.sharing is None else [self.sharing.event()]
-        actions = rules.decide(when, told + ([] if notice is None else [notice]))
-        self.rules = rules
+        self.answer_all()
+        self.controller, self.healthy, self.timers, self.stopped = None, False, [], True
+
+    def start_controller(self, now, cold, age):
+        """Make a controller and tell it the state of things.
+
+        A drain that was requested before is told as of when it was: its grace counts from then.
+
+        Args:
+            now: The time of the turn.
+            cold: Whether the executor was started cold.
+            age: Seconds since the executor started.
+        """
+        when, drain_started = self.drain if self.drain is not None else (now, None)
+        controller, self.timers = self.make_controller(cold, age), []
+        self.started_cold, self.warm_since = cold or self.settings.starts_cold, now - age
+        events = [] if self.degradation is None else [self.degradation.current_event()]
+        events += [] if self.call_quota is None else [self.call_quota.current_event()]
+        actions = controller.decide(when, events + ([] if drain_started is None else [drain_started]))
+        self.controller = controller
         for action in actions:
-            self.carry(self.does, now, action)
+            self.handle(self.action_handlers, now, action)
 
-    # ---- what comes in
+    # ---- messages
 
-    def on_link_up(self, now, m):
+    def on_executor_connected(self, now, message):
+        """Start the controller if there is none, unless the server has stopped."""
         self.count("executor.joined")
-        self.runs.links += 1
-        if self.rules is None and not self.stopped:
-            self.log("welcome", {"cold": m.cold, "age": m.age, "told_cold": self.settings.starts_cold})
-            self.start_module(now, m.cold, m.age)
-
-    def on_arrival(self, now, m):
-        s, connection = m.submission, m.connection
-        if self.rules is None or len(self.open) >= self.most_open:
-            self.count("in.too_early" if self.rules is None else "in.over_all")
-            connection.turn_back(s.stream, self.load)
+        self.executions.connection_count += 1
+        if self.controller is None and not self.stopped:
+            self.log(
+                "welcome",
+                {"cold": message.cold, "age": message.age, "told_cold": self.settings.starts_cold},
+            )
+            self.start_controller(now, message.cold, message.age)
+
+    def on_submission_received(self, now, message):
+        """Keep a submission as pending and tell the controller, or answer it at once where that can't be."""
+        submission, connection = message.submission, message.connection
+        if self.controller is None or len(self.pending) >= self.max_pending:
+            self.count("in.too_early" if self.controller is None else "in.over_all")
+            connection.reject(submission.stream, self.advertised_load)
             return
-        if s.call_id in self.by_call:  # one submission has one answer, which is its first caller's alone
+        if submission.call_id in self.by_call_id:
+            # A submission has one answer, which goes to the caller that sent it first.
             self.count("in.again")
-            connection.write_off(s.stream, self.load)
+            connection.fail(submission.stream, self.advertised_load)
             return
-        self.numbers += 1
-        number, workload = self.numbers, self.names.workloads[s.workload]
-        w = self.settings.workloads[workload]
-        waited = max(0.0, time.time() - s.arrived_at)
-        key = self.repeating.key_of(s, workload, w)
-        sub = PendingRequest(
-            now, number, connection, s.stream, s.call_id, s.workload, w, s.body, key, s.cost_hint, s.tenant
+        self.last_number += 1
+        number, workload = self.last_number, self.decoded_settings.workloads[submission.workload]
+        workload_settings = self.settings.workloads[workload]
+        waited = max(0.0, time.time() - submission.arrived_at)
+        key = self.deduplication.key_of(submission, workload, workload_settings)
+        pending = PendingRequest(
+            now,
+            number,
+            connection,
+            submission.stream,
+            submission.call_id,
+            submission.workload,
+            workload_settings,
+            submission.body,
+            key,
+            submission.cost_hint,
+            submission.tenant,
         )
-        if self.repeating.mark_reused(now, sub, waited):
-            connection.refuse(s.stream, "mark_reused")
+        if self.deduplication.key_reused(now, pending, waited):
+            connection.reject_invalid(submission.stream, "mark_reused")
             return
-        sub.repeats, room_in = self.repeating.newcomer(now, sub, waited)
-        self.open[number] = self.by_call[s.call_id] = self.by_stream[connection, s.stream] = sub
-        left = None if s.timeout is None or not self.names.passes_wait else max(0.0, s.timeout - waited)
-        if self.reducing is not None:
-            self.reducing.signals.record_request(now, waited)
+        pending.duplicate_of, ready_in = self.deduplication.find_original(now, pending, waited)
+        self.pending[number] = self.by_call_id[submission.call_id] = self.by_stream[
+            connection, submission.stream
+        ] = pending
+        time_left = (
+            None
+            if submission.timeout is None or not self.decoded_settings.passes_wait
+            else max(0.0, submission.timeout - waited)
+        )
+        if self.degradation is not None:
+            self.degradation.signals.record_request(now, waited)
         self.events.append(
             interface.Arrived(
                 id=number,
                 workload=workload,
-                tenant=self.names.tenants.get(s.tenant),
+                tenant=self.decoded_settings.tenants.get(submission.tenant),
                 waited=waited,
-                rank=s.rank,
-                is_retry=s.is_retry,
-                subject=s.subject,
-                caller=s.caller,
-                memory=s.memory,
-                time_left=left,
-                duplicate_of=sub.repeats,
-                cost_hint=s.cost_hint,
-                deduplication_ready_in=room_in,
+                rank=submission.rank,
+                is_retry=submission.is_retry,
+                subject=submission.subject,
+                caller=submission.caller,
+                memory=submission.memory,
+                time_left=time_left,
+                duplicate_of=pending.duplicate_of,
+                cost_hint=submission.cost_hint,
+                deduplication_ready_in=ready_in,
             )
         )
 
-    def on_withdrawal(self, now, m):
-        self.gone(m.connection, m.stream)
+    def on_submission_cancelled(self, now, message):
+        """Note that the caller of one submission no longer waits."""
+        self.caller_disconnected(message.connection, message.stream)
 
-    def on_connection_ended(self, now, m):
-        for stream in m.streams:
-            self.gone(m.connection, stream)
+    def on_connection_closed(self, now, message):
+        """Note that no caller on a connection waits any longer."""
+        for stream in message.streams:
+            self.caller_disconnected(message.connection, stream)
 
-    def gone(self, connection, stream):
-        """The caller left: nothing is owed, and the module hears it."""
-        sub = self.by_stream.get((connection, stream))
-        if sub is not None and not sub.answered:
+    def caller_disconnected(self, connection, stream):
+        """Tell the controller that a caller no longer waits; no answer is needed."""
+        pending = self.by_stream.get((connection, stream))
+        if pending is not None and not pending.answered:
             self.count("out.callers_gone")
-            self.forget_caller(sub)
-            self.events.append(interface.CallerGone(sub.number))
-            if sub.run == IDLE:
-                self.repeating.end_joiners(sub, None)  # what waits for its end would wait for ever
-                self.drop(sub)
-
-    def on_check(self, now, m):
-        full = len(self.checks) >= CHECKS
-        if self.shallow or not m.deep or self.rules is None or not self.healthy or full:
-            self.answer_check(m.connection, m.stream, self.healthy)
+            self.forget_caller(pending)
+            self.events.append(interface.CallerGone(pending.number))
+            if pending.state == NOT_RUNNING:
+                # Submissions that are coalesced with it would wait for ever for its end.
+                self.deduplication.end_coalesced(pending, None)
+                self.remove(pending)
+
+    def on_health_check_requested(self, now, message):
+        """Answer a health check; for a deep one, if the controller wants it so, ask the executor first."""
+        full = len(self.health_checks) >= MAX_HEALTH_CHECKS
+        if self.shallow or not message.deep or self.controller is None or not self.healthy or full:
+            self.answer_health_check(message.connection, message.stream, self.healthy)
             return
-        self.runs.mark += 1
-        mark = f"check{self.runs.mark}"
-        self.checks[mark] = (m.connection, m.stream)
-        if not self.link.send(executor_protocol.diagnose(mark)):
-            self.check_over(mark, False)
-        self.scheduler.call_later(CHECK_PATIENCE, self.check_over, mark, False)
-
-    def on_diagnosed(self, now, m):
-        self.check_over(m.token, m.healthy)
-
-    def check_over(self, mark, good):
-        connection, stream = self.checks.pop(mark, (None, None))
+        self.executions.gauge_token += 1
+        token = f"check{self.executions.gauge_token}"
+        self.health_checks[token] = (message.connection, message.stream)
+        if not self.executor.send(executor_protocol.diagnose(token)):
+            self.finish_health_check(token, False)
+        self.scheduler.call_later(HEALTH_CHECK_TIMEOUT_S, self.finish_health_check, token, False)
+
+    def on_diagnosis_reported(self, now, message):
+        """Answer a deep check by what the executor reports."""
+        self.finish_health_check(message.token, message.healthy)
+
+    def finish_health_check(self, token, healthy):
+        """Answer a deep check, unless it is answered."""
+        connection, stream = self.health_checks.pop(token, (None, None))
         if connection is not None:
-            self.answer_check(connection, stream, good and self.healthy)
+            self.answer_health_check(connection, stream, healthy and self.healthy)
 
-    def answer_check(self, connection, stream, good):
-        self.count("out.checks_good" if good else "out.checks_bad")
-        connection.tell_health(stream, self.load, good)
+    def answer_health_check(self, connection, stream, healthy):
+        """Send the answer to a health check."""
+        self.count("out.checks_good" if healthy else "out.checks_bad")
+        connection.send_health(stream, self.advertised_load, healthy)
 
     def put_later(self, message):
-        """For what a turn tells the module in the next one."""
+        """Put a message into the queue from a turn, which must not wait itself: it is for the next turn."""
         self.scheduler.spawn(self.put, message, name="later")
 
-    def on_told(self, now, m):
-        self.events.append(m.event)
+    def on_deferred_event(self, now, message):
+        """Pass an event from an earlier turn on to the controller."""
+        self.events.append(message.event)
 
-    def on_leaving(self, now, m):
-        self.leave = now, interface.DrainStarted(m.time_left)
-        self.reporter.tell(False)
-        self.events.append(self.leave[1])
+    def on_drain_requested(self, now, message):
+        """Take the server out of the registry and tell the controller that it is to stop."""
+        self.drain = now, interface.DrainStarted(message.time_left)
+        self.registry.set_serving(False)
+        self.events.append(self.drain[1])
 
     # ---- answers
 
-    def answer(self, sub, kind, *what):
-        """The one final answer, unless its caller has one or has gone."""
-        if not sub.answered:
+    def answer(self, pending, kind, *details):
+        """Send a submission its one final answer, unless its caller has one or has gone.
+
+        Args:
+            pending: The submission.
+            kind: A key of ANSWERS.
+            *details: What that method of the connection takes beside the stream and the load.
+        """
+        if not pending.answered:
             self.count("out." + kind)
-            if kind == "turned_back" and self.reducing is not None:
-                self.reducing.signals.record_rejection(self.scheduler.clock())
-            getattr(sub.connection, ANSWERS[kind])(sub.stream, self.load, *what)
+            if kind == "turned_back" and self.degradation is not None:
+                self.degradation.signals.record_rejection(self.scheduler.clock())
+            getattr(pending.connection, ANSWERS[kind])(pending.stream, self.advertised_load, *details)
             if self.trace is not None:
                 self.trace(
                     "answered",
                     {
-                        "call": sub.call,
-                        "workload": sub.workload,
+                        "call": pending.call_id,
+                        "workload": pending.workload,
                         "kind": kind,
-                        "after": self.scheduler.clock() - sub.since,
+                        "after": self.scheduler.clock() - pending.received_at,
                     },
                 )
-            self.forget_caller(sub)
-
-    def forget_caller(self, sub):
-        sub.answered = True
-        self.by_stream.pop((sub.connection, sub.stream), None)
-
-    def drop(self, sub):
-        if self.open.pop(sub.number, None) is not None:
-            self.repeating.dropped(sub)
-        self.by_call.pop(sub.call, None)
-        self.by_stream.pop((sub.connection, sub.stream), None)
-
-    # ---- what the module asks for
-
-    def do_turn_back(self, now, a):
-        sub = self.open.get(a.id)
-        if sub is not None:
-            self.answer(sub, "turned_back", a.retry_after, a.final)
-            self.over_unless_running(sub)
-
-    def do_write_off(self, now, a):
-        sub = self.open.get(a.id)
-        if sub is not None:
-            self.answer(sub, "written_off")
-            if sub.notice is not None:
-                self.ledger.give_up(sub.number)
-            self.over_unless_running(sub)
-
-    def over_unless_running(self, sub):
-        if sub.run == IDLE:
-            self.repeating.end_joiners(sub, None)
-            self.drop(sub)
-
-    def do_health(self, now, a):
-        self.healthy, self.shallow = a.healthy, a.shallow
-        self.reporter.tell(a.healthy)
-
-    def do_say(self, now, a):
-        self.load = a.value
-
-    def do_close_idle(self, now, a):
-        self.gateways.idle_timeout = a.idle_time
-
-    def do_wake(self, now, a):
-        heapq.heappush(self.wakes, (now + a.delay, a.timer))
-
-    def do_note(self, now, a):
-        self.log("note", {"text": a.text})
-
-    def tables(self):
-        """What is done with each message, and with each action, by its type."""
-        runs, repeating = self.runs, self.repeating
-        takes = {
-            messages.ExecutorConnected: self.on_link_up,
-            messages.ExecutorDisconnected: runs.on_link_down,
-            messages.NoticesLost: runs.on_notices_missed,
-            messages.InDoubtCheckDue: runs.on_doubt,
-            messages.SubmissionReceived: self.on_arrival,
-            messages.SubmissionCancelled: self.on_withdrawal,
-            messages.ConnectionClosed: self.on_connection_ended,
-            messages.HealthCheckRequested: self.on_check,
-            messages.CallFinished: runs.on_call_over,
-            messages.DeferredEvent: self.on_told,
-            messages.DrainRequested: self.on_leaving,
-            messages.StopRequested: self.on_stopping,
-            messages.StoreProgressed: repeating.on_disk_news,
-            executor_protocol.RunEnded: runs.on_run_over,
-            executor_protocol.CallRequest: runs.on_call_wanted,
-            executor_protocol.GaugesReported: runs.on_gauged,
-            executor_protocol.DiagnosisReported: self.on_diagnosed,
-            executor_protocol.CommandRejected: runs.on_not_carried_out,
+            self.forget_caller(pending)
+
+    def forget_caller(self, pending):
+        """Note that a submission needs no answer any more."""
+        pending.answered = True
+        self.by_stream.pop((pending.connection, pending.stream), None)
+
+    def remove(self, pending):
+        """Remove a submission from the tables; its call id may come again."""
+        if self.pending.pop(pending.number, None) is not None:
+            self.deduplication.release(pending)
+        self.by_call_id.pop(pending.call_id, None)
+        self.by_stream.pop((pending.connection, pending.stream), None)
+
+    # ---- actions of the admission controller
+
+    def apply_reject(self, now, action):
+        """Reject a submission."""
+        pending = self.pending.get(action.id)
+        if pending is not None:
+            self.answer(pending, "turned_back", action.retry_after, action.final)
+            self.remove_unless_running(pending)
+
+    def apply_fail(self, now, action):
+        """Answer a submission as failed, and cancel its call."""
+        pending = self.pending.get(action.id)
+        if pending is not None:
+            self.answer(pending, "written_off")
+            if pending.call_request is not None:
+                self.ledger.cancel(pending.number)
+            self.remove_unless_running(pending)
+
+    def remove_unless_running(self, pending):
+        """Remove a submission, with the duplicates that wait for it, unless it is being executed."""
+        if pending.state == NOT_RUNNING:
+            self.deduplication.end_coalesced(pending, None)
+            self.remove(pending)
+
+    def apply_health(self, now, action):
+        """Set the answer to health checks and report it to the registry."""
+        self.healthy, self.shallow = action.healthy, action.shallow
+        self.registry.set_serving(action.healthy)
+
+    def apply_advertise_load(self, now, action):
+        """Set the load value that is sent with each answer."""
+        self.advertised_load = action.value
+
+    def apply_close_idle_connections(self, now, action):
+        """Set after how many seconds without use a gateway connection is closed."""
+        self.gateways.idle_timeout = action.idle_time
+
+    def apply_set_timer(self, now, action):
+        """Set a timer."""
+        heapq.heappush(self.timers, (now + action.delay, action.timer))
+
+    def apply_trace(self, now, action):
+        """Log what the controller wants to be read by people."""
+        self.log("note", {"text": action.text})
+
+    def handler_tables(self):
+        """Return the handlers of messages, and those of actions, by type."""
+        executions, deduplication = self.executions, self.deduplication
+        message_handlers = {
+            messages.ExecutorConnected: self.on_executor_connected,
+            messages.ExecutorDisconnected: executions.on_executor_disconnected,
+            messages.NoticesLost: executions.on_notices_lost,
+            messages.InDoubtCheckDue: executions.on_in_doubt_check_due,
+            messages.SubmissionReceived: self.on_submission_received,
+            messages.SubmissionCancelled: self.on_submission_cancelled,
+            messages.ConnectionClosed: self.on_connection_closed,
+            messages.HealthCheckRequested: self.on_health_check_requested,
+            messages.CallFinished: executions.on_call_finished,
+            messages.DeferredEvent: self.on_deferred_event,
+            messages.DrainRequested: self.on_drain_requested,
+            messages.StopRequested: self.on_stop_requested,
+            messages.StoreProgressed: deduplication.on_store_progressed,
+            executor_protocol.RunEnded: executions.on_run_ended,
+            executor_protocol.CallRequest: executions.on_call_requested,
+            executor_protocol.GaugesReported: executions.on_gauges_reported,
+            executor_protocol.DiagnosisReported: self.on_diagnosis_reported,
+            executor_protocol.CommandRejected: executions.on_command_rejected,
         }
-        does = {
-            interface.Start: runs.do_start,
-            interface.Interrupt: runs.do_halt,
-            interface.Reject: self.do_turn_back,
-            interface.Fail: self.do_write_off,
-            interface.Call: runs.do_call,
-            interface.BypassCall: runs.do_go_without,
-            interface.StoreKey: repeating.do_remember,
-            interface.Forget: repeating.do_forget,
-            interface.AnswerFromOriginal: repeating.do_answer_from,
-            interface.Health: self.do_health,
-            interface.AdvertiseLoad: self.do_say,
-            interface.CloseIdleConnections: self.do_close_idle,
-            interface.SetTimer: self.do_wake,
-            interface.Trace: self.do_note,
+        action_handlers = {
+            interface.Start: executions.apply_start,
+            interface.Interrupt: executions.apply_interrupt,
+            interface.Reject: self.apply_reject,
+            interface.Fail: self.apply_fail,
+            interface.Call: executions.apply_call,
+            interface.BypassCall: executions.apply_bypass_call,
+            interface.StoreKey: deduplication.apply_store_key,
+            interface.Forget: deduplication.apply_forget,
+            interface.AnswerFromOriginal: deduplication.apply_answer_from_original,
+            interface.Health: self.apply_health,
+            interface.AdvertiseLoad: self.apply_advertise_load,
+            interface.CloseIdleConnections: self.apply_close_idle_connections,
+            interface.SetTimer: self.apply_set_timer,
+            interface.Trace: self.apply_trace,
         }
-        return takes, does
+        return message_handlers, action_handlers
--- a/valeturn/dispatch/messages.py
+++ b/valeturn/dispatch/messages.py
@@ -1,4 +1,7 @@
-"""What the tasks put into the owner's queue, beside the protocol's own values."""
+"""Messages that tasks put into the dispatcher's queue, beside the values of `protocol`.
+
+Times and durations are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -9,50 +12,64 @@
 
 
 class SubmissionReceived(NamedTuple):
+    """A gateway sent a submission."""
+
     connection: object
     submission: Submission
 
 
 class SubmissionCancelled(NamedTuple):
+    """A gateway withdrew a submission: its caller no longer waits for the answer."""
+
     connection: object
     stream: int
 
 
 class ConnectionClosed(NamedTuple):
+    """A gateway connection ended; nobody waits any longer for what was open on it."""
+
     connection: object
-    streams: frozenset  # that were open on it
+    streams: frozenset  # numbers of the streams that were open on it
 
 
 class HealthCheckRequested(NamedTuple):
+    """A gateway asks whether this server is healthy."""
+
     connection: object
     stream: int
-    deep: bool
+    deep: bool  # whether the executor is to be asked as well
 
 
 class ExecutorConnected(NamedTuple):
-    cold: bool
-    age: float
+    """The executor accepted the connection."""
+
+    cold: bool  # whether the executor was started cold
+    age: float  # seconds since the executor started
 
 
 class ExecutorDisconnected(NamedTuple):
+    """The connection to the executor broke."""
+
     arrived: float  # all commands that were sent before this moment are known to have arrived
 
 
 class InDoubtCheckDue(NamedTuple):
-    """It is time to find out whether a run that may have been lost with a link ever began."""
+    """It is time to find out whether an execution that may have been lost with a connection ever began."""
 
-    number: int
+    number: int  # of the submission
 
 
 class NoticesLost(NamedTuple):
-    """The executor no longer keeps some that were not read."""
+    """The executor no longer holds some notices that were not read."""
 
 
 class StoreProgressed(NamedTuple):
-    """The store's helper has done something."""
+    """The worker thread of the result store finished some work."""
 
 
 class CallFinished(NamedTuple):
+    """A call to the ledger ended."""
+
     number: int  # of the submission
     attempt: int
     outcome: Outcome
@@ -61,14 +78,16 @@
 
 
 class DeferredEvent(NamedTuple):
-    """What a turn found out and the module is to hear in the next one."""
+    """An event for the admission controller in the next turn, from a turn or from another task."""
 
     event: object
 
 
 class DrainRequested(NamedTuple):
+    """The server is to stop after this many seconds."""
+
     time_left: float
 
 
 class StopRequested(NamedTuple):
-    """All that is still owed gets its answer now."""
+    """The process ends in a moment: all submissions that have no answer yet get one now."""
