--- a/tests/admission/test_controller_model.py
+++ b/tests/admission/test_controller_model.py
@@ -69,11 +69,11 @@
                         number_of, chance.choice((interface.Outcome.DONE, interface.Outcome.ERROR)), 0.2
                     )
                 )
-            elif at == "running" and sub["w"].makes_call and roll < 0.04:
+            elif at == "running" and sub["workload"].makes_call and roll < 0.04:
                 events.append(interface.CallRequested(number_of))
             elif at == "calling" and roll < 0.05:
                 events.append(interface.CallEnded(number_of, chance.choice(CALL_ENDS), 0.1))
-            elif at == "joined" and model.subs[sub["e"].duplicate_of]["at"] == "over":
+            elif at == "joined" and model.subs[sub["event"].duplicate_of]["at"] == "over":
                 events.append(interface.Ended(number_of, interface.Outcome.DONE, 0.0))
             elif at != "over" and sub["owed"] and roll > 0.998:
                 events.append(interface.CallerGone(number_of))
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -12,7 +12,7 @@
 import types
 
 import pytest
-from helpers import Caller, Ends, frame
+from helpers import Caller, DispatcherHarness, frame
 from program_support import CONFIG, ROOT, answers, changed, submit
 
 from valeturn.admission import interface
@@ -393,7 +393,7 @@
 
 def test_a_module_that_answers_nothing_leaves_nothing_unanswered_at_the_stop():
     made, caller = quiet(stop_ms=400), Caller()
-    made.dispatcher.make_rules = lambda cold, age: types.SimpleNamespace(decide=lambda now, events: [])
+    made.dispatcher.make_controller = lambda cold, age: types.SimpleNamespace(decide=lambda now, events: [])
     made.scheduler.spawn(made.dispatcher.run, name="core", late=True)
     made.gateways.listener = types.SimpleNamespace(drain=lambda until: None)
     asked = frames.Submission(
@@ -407,12 +407,12 @@
 
 
 def test_what_is_still_owed_at_the_stop_is_settled_and_nothing_is_let_in_after():
-    ends, caller = Ends(), Caller()
-    ends.arrive("file", caller, do=[interface.Start])
+    ends, caller = DispatcherHarness(), Caller()
+    ends.arrive("file", caller, actions=[interface.Start])
     ends.arrive("file", caller)
     ends.arrive("book", caller)
     ends.turn(messages.StopRequested())
-    assert [code for _, code, _ in caller.answers] == [9, 0, 9] and not ends.dispatcher.open
+    assert [code for _, code, _ in caller.answers] == [9, 0, 9] and not ends.dispatcher.pending
     ends.turn(messages.ExecutorConnected(False, 0.0))
     ends.arrive("read", caller)
-    assert caller.answers[-1][1] == 0 and ends.dispatcher.rules is None
+    assert caller.answers[-1][1] == 0 and ends.dispatcher.controller is None
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -308,7 +308,7 @@
     def test():
         ledger.call(1, 1, "a", 5.0, b"")
         scheduler.sleep(0.05)
-        ledger.give_up(1)
+        ledger.cancel(1)
         assert not box.take_all(0.05) and not ledger.out and len(ends) == 1
 
     run(scheduler, test)
@@ -408,7 +408,7 @@
             "naming.reports" in counts
             and ("naming.unanswered" if script in ([2.0], [None]) else "naming.failed") in counts
         )
-        reporter.tell(True)
+        reporter.set_serving(True)
         scheduler.sleep(0.3)
         assert took[0].startswith(b"PUT /ns/hosts/n3 HTTP/1.1\r\n") and took[0].endswith(b'{"serving":"no"}')
         assert took[-1].endswith(b'{"serving":"yes"}'), "a change is told at once"
--- a/valeturn/dispatch/call_quota.py
+++ b/valeturn/dispatch/call_quota.py
@@ -12,15 +12,15 @@
         """usable() -> calls out that this server may have at this moment."""
         self.usable, self.said, self.seen = usable, None, 0.0
 
-    def event(self):
+    def current_event(self):
         self.said = self.usable()
         return interface.CallQuotaChanged(self.said)
 
-    def events(self):
+    def pending_events(self):
         """For each turn, so that a server that was stopped uses nothing that is over."""
-        return [] if self.usable() == self.said else [self.event()]
+        return [] if self.usable() == self.said else [self.current_event()]
 
-    def need(self, at_calls):
+    def required_calls(self, at_calls):
         """Calls out that this server could use, from those that stand there now."""
         self.seen = max(float(at_calls), FADES * self.seen)
         return self.seen
--- a/valeturn/dispatch/degradation_monitor.py
+++ b/valeturn/dispatch/degradation_monitor.py
@@ -22,15 +22,15 @@
         self.times, self.since, self.why, self.swept = {}, now, "", now
         self.spared = 0.0  # as the module was told last
 
-    def call_ended(self, now, outcome, took):
+    def record_call(self, now, outcome, took):
         if outcome is not interface.Outcome.CANCELLED and outcome is not interface.Outcome.MOOT:
             self.signals.record_call(now, took, outcome in FAILED)
 
-    def gauged(self, now, gauges):
+    def record_gauges(self, now, gauges):
         memory = None if gauges.memory is None else gauges.memory / self.settings.memory
         self.signals.record_gauges(now, gauges.busy, memory)
 
-    def sweep(self, now, cold):
+    def update(self, now, cold):
         """The events for the module: the level that holds from now on, where it changed."""
         read = self.signals.read(now)
         name = self.decision.active_name or "none"
@@ -40,34 +40,34 @@
             self.signals.learn_baselines(now, read)
         else:
             self.signals.skip_learning(now)
-        told = self.told(now, self.decision.step(now, read, self.signals.baselines, cold), read)
+        told = self.report_changes(now, self.decision.step(now, read, self.signals.baselines, cold), read)
         spared = self.decision.spared_ratio(now)
         if spared != self.spared:
             self.count("levels.trials") if not self.spared else None
             self.spared = spared
-            told = [self.event()]
+            told = [self.current_event()]
         return told
 
     def hold(self, now, name, seconds):
         """By hand; None where there is no such level."""
         changes = self.decision.pin(now, name, seconds)
-        return None if changes is None else self.told(now, changes, self.signals.read(now))
+        return None if changes is None else self.report_changes(now, changes, self.signals.read(now))
 
-    def free(self, now):
+    def release(self, now):
         """None where nothing is held by hand."""
         changes = self.decision.unpin(now)
-        return None if changes is None else self.told(now, changes, self.signals.read(now))
+        return None if changes is None else self.report_changes(now, changes, self.signals.read(now))
 
-    def told(self, now, changes, read):
+    def report_changes(self, now, changes, read):
         for change in changes:
             self.count("levels.changes")
             self.since, self.why = now, change.reason
             known = {k: round(v, 4) for k, v in read.items() if v is not None}
             way = {"from": change.before or "none", "to": change.after or "none", "why": change.reason}
             self.log("level", {**way, **known})
-        return [self.event()] if changes else []
+        return [self.current_event()] if changes else []
 
-    def event(self):
+    def current_event(self):
         level = self.decision.active_level()
         return interface.LevelChanged(
             interface.ServiceReduction()
@@ -75,7 +75,7 @@
             else level.restrictions._replace(exempt_share=self.spared)
         )
 
-    def figures(self, now):
+    def status_fields(self, now):
         """For the counters: which level, since when and why, and the seconds in each so far."""
         spent = {f"in_{name}_s": seconds for name, seconds in sorted(self.times.items())}
         name = self.decision.active_name or "none"
--- a/valeturn/dispatch/gateway_server.py
+++ b/valeturn/dispatch/gateway_server.py
@@ -111,16 +111,16 @@
             elif message.stream in withdrawn:  # taken back already: nobody waits for an answer
                 count("in.withdrawn_unread")
             elif len(self.open) >= OPEN:
-                self.refuse(message.stream, "over_open")
+                self.reject_invalid(message.stream, "over_open")
             elif why := self.gateways.unknown(message):
-                self.refuse(message.stream, why)
+                self.reject_invalid(message.stream, why)
             else:
                 self.open.add(message.stream)
                 put(SubmissionReceived(self, message))
         elif isinstance(message, frames.InvalidSubmission):
             count("in.submissions")
             if self.is_new(message.stream):
-                self.refuse(message.stream, "unreadable")
+                self.reject_invalid(message.stream, "unreadable")
             else:
                 self.refuse_connection("stream reused")
         elif isinstance(message, frames.CancelRequest):
@@ -147,10 +147,10 @@
         self.used.discard(self.used_up_to)
         return True
 
-    def refuse(self, stream, why):
+    def reject_invalid(self, stream, why):
         """It never ran, and its answer says so."""
         self.gateways.count("in.unreadable." + why)
-        self.turn_back(stream, None)
+        self.reject(stream, None)
         self.faults += 1
         if self.faults >= FAULTS:
             self.refuse_connection("faults")
@@ -182,13 +182,13 @@
     def deliver(self, stream, load, result):
         self.answer(stream, frames.delivered(stream, result, load))
 
-    def turn_back(self, stream, load, retry_in=0.0, final=False):
-        self.answer(stream, frames.rejected(stream, retry_in, final, load))
+    def reject(self, stream, load, retry_after=0.0, final=False):
+        self.answer(stream, frames.rejected(stream, retry_after, final, load))
 
-    def write_off(self, stream, load):
+    def fail(self, stream, load):
         self.answer(stream, frames.failed(stream, load))
 
-    def tell_health(self, stream, load, good):
+    def send_health(self, stream, load, good):
         self.answer(stream, frames.health(stream, good, load))
 
     def answer(self, stream, data):
--- a/valeturn/dispatch/ledger_client.py
+++ b/valeturn/dispatch/ledger_client.py
@@ -35,7 +35,7 @@
         self.address, self.host = address, f"{address[0]}:{address[1]}"
 
     def call(self, number, attempt, reference, wait, body):
-        self.give_up(number)
+        self.cancel(number)
         if len(self.out) >= self.most:
             self.count("ledger.over_bound")
             over = CallFinished(number, attempt, Outcome.UNREACHED, 0.0, b"")
@@ -45,7 +45,7 @@
             self._run, number, attempt, reference, wait, body, name="call"
         )
 
-    def give_up(self, number):
+    def cancel(self, number):
         """The task's end closes the connection, which tells the ledger; nothing more is reported of it."""
         task = self.out.pop(number, None)
         if task is not None:
--- a/valeturn/dispatch/registry_client.py
+++ b/valeturn/dispatch/registry_client.py
@@ -25,7 +25,7 @@
         self.address, self.host = address, f"{address[0]}:{address[1]}"
         self.report_now()
 
-    def tell(self, serving):
+    def set_serving(self, serving):
         """A change is reported at once, or right after the report that is on its way."""
         if serving != self.serving:
             self.serving = serving
--- a/valeturn/dispatch/turn_pacing.py
+++ b/valeturn/dispatch/turn_pacing.py
@@ -17,7 +17,7 @@
         self.clock, self.cores, self.used = clock, cores, used
         self.at, self.before, self.share = clock(), used(), 0.0
 
-    def gap(self):
+    def pause_s(self):
         now = self.clock()
         if now - self.at >= LOOK:
             used = self.used()
--- a/valeturn/lab/emulator.py
+++ b/valeturn/lab/emulator.py
@@ -111,7 +111,7 @@
         self.reducing = (
             DegradationMonitor(now, scene.levels, s, self.count, lambda *_: None) if scene.levels else None
         )
-        self.decide(self.reducing.told(now, [], {}) if self.reducing else [])
+        self.decide(self.reducing.report_changes(now, [], {}) if self.reducing else [])
 
     def count(self, name):
         self.world.totals.changes += name == "levels.changes"
@@ -181,7 +181,7 @@
         if self.reducing:
             for e in events:
                 if isinstance(e, interface.CallEnded):
-                    self.reducing.call_ended(now, e.outcome, e.duration)
+                    self.reducing.record_call(now, e.outcome, e.duration)
         later = []
         for action in self.rules.decide(now, events):
             act = self.DOES.get(type(action))
@@ -225,8 +225,8 @@
         self.move()
         gauges = interface.Gauges(self.busy, len(self.runs), 8.0 * len(self.subs), 10)
         if self.reducing:
-            self.reducing.gauged(now, gauges)
-            events = self.reducing.sweep(
+            self.reducing.record_gauges(now, gauges)
+            events = self.reducing.update(
                 now, self.cold and now - self.born < self.world.scene.settings.warm_up_time
             )
             rank = self.reducing.decision.active_level()
--- a/valeturn/server/components/degradation.py
+++ b/valeturn/server/components/degradation.py
@@ -27,7 +27,7 @@
         self.monitor = DegradationMonitor(now, levels, names.settings, server.counters.add, server.log)
 
     def _figures(self) -> dict[str, Any]:
-        figures: dict[str, Any] = self.monitor.figures(self.server.scheduler.clock())
+        figures: dict[str, Any] = self.monitor.status_fields(self.server.scheduler.clock())
         return figures
 
     def status(self) -> dict[str, Any]:
@@ -42,7 +42,7 @@
         """Replace the levels; what the active level restricts may have changed."""
         self.options = options
         self.monitor.decision.configure(build_levels(options, self.server.configuration.names))
-        self.server.dispatcher.put(DeferredEvent(self.monitor.event()))
+        self.server.dispatcher.put(DeferredEvent(self.monitor.current_event()))
 
     def answer(self, request: requests.ControlRequest) -> bytes | None:
         """Hold or release a level; nothing about requests is decided here."""
@@ -51,7 +51,7 @@
             told = self.monitor.hold(now, request.level, request.seconds)
             reason = f"no level {request.level}"
         elif isinstance(request, requests.ReleaseLevelRequest):
-            told = self.monitor.free(now)
+            told = self.monitor.release(now)
             reason = "no level is held by hand"
         else:
             return None
--- a/valeturn/server/components/maintenance.py
+++ b/valeturn/server/components/maintenance.py
@@ -69,7 +69,7 @@
         server = self.server
         names = server.configuration.names
         dispatcher = server.dispatcher
-        measured: float | None = names.gauges(dispatcher.runs.gauges).busy
+        measured: float | None = names.gauges(dispatcher.executions.gauges).busy
         if measured is not None:
             return measured
         return float(min(1.0, dispatcher.gauges()["running"] / max(1, names.settings.cores)))
@@ -79,7 +79,7 @@
         dispatcher = self.server.dispatcher
         settings = self.server.configuration.names.settings
         age = self.server.scheduler.clock() - dispatcher.warm_since
-        if not dispatcher.cold or age >= settings.warm_up_time:
+        if not dispatcher.started_cold or age >= settings.warm_up_time:
             return 1.0
         speed: float = (
             settings.cold_start_speed + (1 - settings.cold_start_speed) * age / settings.warm_up_time
--- a/valeturn/server/components/singleton_tasks.py
+++ b/valeturn/server/components/singleton_tasks.py
@@ -45,7 +45,7 @@
 
     def _needed_calls(self) -> float:
         assert self.sharing is not None
-        needed: float = self.sharing.need(self.server.dispatcher.call_count())
+        needed: float = self.sharing.required_calls(self.server.dispatcher.call_count())
         return needed
 
     def can_apply(self, options: Any) -> bool:  # noqa: ANN401 - as the base class
--- a/valeturn/server/status.py
+++ b/valeturn/server/status.py
@@ -51,7 +51,7 @@
             "connections_in_use": sum(bool(connection.open) for connection in connections),
             "report_age_s": server.scheduler.clock() - server.reporter.reported_at,
             "link_up": int(server.link.up),
-            "cpu_share": server.dispatcher.pace.share,
+            "cpu_share": server.dispatcher.pacing.share,
             **{
                 key: value
                 for component in server.components.values()
