--- a/tests/admission/test_controller_model.py
+++ b/tests/admission/test_controller_model.py
@@ -83,11 +83,11 @@
                         0.2,
                     )
                 )
-            elif state == "running" and submission["w"].makes_call and roll < 0.04:
+            elif state == "running" and submission["workload"].makes_call and roll < 0.04:
                 events.append(interface.CallRequested(submission_id))
             elif state == "calling" and roll < 0.05:
                 events.append(interface.CallEnded(submission_id, random_source.choice(CALL_OUTCOMES), 0.1))
-            elif state == "joined" and model.subs[submission["e"].duplicate_of]["at"] == "over":
+            elif state == "joined" and model.subs[submission["event"].duplicate_of]["at"] == "over":
                 events.append(interface.Ended(submission_id, interface.Outcome.DONE, 0.0))
             elif state != "over" and submission["owed"] and roll > 0.998:
                 events.append(interface.CallerGone(submission_id))
--- a/tests/server/test_graceful_shutdown.py
+++ b/tests/server/test_graceful_shutdown.py
@@ -15,7 +15,7 @@
 import types
 
 import pytest
-from helpers import Caller, Ends, frame
+from helpers import Caller, DispatcherHarness, frame
 from program_support import CONFIG, ROOT, answers, changed, submit
 
 from valeturn.admission import interface
@@ -423,8 +423,8 @@
 
 
 def test_unanswered_requests_are_answered_at_the_stop_and_later_ones_rejected():
-    ends, caller = Ends(), Caller()
-    ends.arrive("file", caller, do=[interface.Start])
+    ends, caller = DispatcherHarness(), Caller()
+    ends.arrive("file", caller, actions=[interface.Start])
     ends.arrive("file", caller)
     ends.arrive("book", caller)
     ends.turn(messages.StopRequested())
