--- a/tests/fabric_cases.py
+++ b/tests/fabric_cases.py
@@ -3,8 +3,8 @@
 import asyncio
 import traceback
 
+from valeturn.lab.fault_injection.fault_runner import VIOLATION_KEYS
 from valeturn.lab.fault_injection.fleet import Fleet
-from valeturn.lab.fault_injection.storm import MUST_NOT
 
 AT_ONCE = 4  # fleets side by side: a dozen servers, which eight cores start in a second
 EFFECT = "[duty effect]\ndo = run\ncommand = {effect}\nmost = 1 h\npatience = 100 ms\nfenced = number\n"
@@ -15,8 +15,8 @@
 
 
 def nothing_broken(fleet):
-    found = fleet.judge()
-    if any(found[key] for key in MUST_NOT):
+    found = fleet.check_history()
+    if any(found[key] for key in VIOLATION_KEYS):
         raise Broken(found)
     return found
 
@@ -41,7 +41,7 @@
                 folders.mktemp("f") / "f",
                 how.get("count", 3),
                 1,
-                **{"duties": EFFECT, **{k: v for k, v in how.items() if k != "count"}},
+                **{"singleton_tasks": EFFECT, **{k: v for k, v in how.items() if k != "count"}},
             )
             try:
                 await fleet.start()
--- a/valeturn/lab/commands.py
+++ b/valeturn/lab/commands.py
@@ -65,7 +65,7 @@
 
             return 0 if all([whole(number(given, "--servers"), seed, sys.stdout) for seed in seeds]) else 1
         if not given["--virtual"]:
-            from .fault_injection.storm import main as storm
+            from .fault_injection.fault_runner import main as storm
 
             servers, faults = number(given, "--servers"), number(given, "--faults")
             return storm(servers, faults, seeds, sys.stdout, not given["--no-fences"], given["--keep"])
@@ -79,7 +79,7 @@
             from .turns import main as release
 
             return max(release(servers, seeds, sys.stdout, 0.85, lost) for lost in (0.0, 0.1))
-        from .fault_injection.turns import main as turns
+        from .fault_injection.maintenance import main as turns
 
         return turns(servers, number(given, "--faults"), seeds, sys.stdout, given["--keep"])
     if given["shares"]:
--- a/valeturn/lab/fault_injection/__init__.py
+++ b/valeturn/lab/fault_injection/__init__.py
@@ -1,6 +1,8 @@
-"""Several real servers of one fleet on loopback, each pair of them linked through a relay that can be hurt.
+"""Fault injection for clusters of real servers on loopback, and for simulated ones in virtual time.
 
-`relays` moves and hurts bytes, `member` is the process of a server with the laboratory's seams, `effect` the
-command of a duty, `witness` judges from what crossed the sockets and files, `fleet` starts, stops and kills,
-`storm` plays faults by chance.
+`schedule` draws faults from a seed, `fault_runner` executes them, and `fleet` starts, stops and kills the
+servers. Every pair of servers talks through a relay of `relays`, which can delay, block and duplicate bytes.
+`member` runs one server with injected dependencies, and `effect` is the command of its singleton tasks.
+`history_checker` looks for invariant violations in what crossed sockets and files. `maintenance` tests
+maintenance requests, `measure` the cost of a cluster, and `virtual` runs up to 200 servers in virtual time.
 """
--- a/valeturn/lab/fault_injection/effect.py
+++ b/valeturn/lab/fault_injection/effect.py
@@ -1,9 +1,10 @@
-"""The command of a duty in the laboratory: has an effect every few milliseconds at a stand-in for the world.
+"""The command of a singleton task: sends an effect to a stand-in service every 20 ms.
 
     python -I -S effect.py HOST PORT [heedless|forking]
 
-Each effect says under which fence it is had. `heedless` does not end by TERM; `forking` leaves a child in a
-session of its own that goes on.
+Each effect carries the fencing token that it was started with. `heedless` ignores SIGTERM; `forking`
+continues in a second process in a session of its own too, so that ending the first one's process group is not
+enough.
 """
 
 import os
@@ -13,10 +14,11 @@
 import time
 
 
-def main(host, port, how=""):
-    if how == "heedless":
+def main(host, port, mode=""):
+    """Print the server and the fencing token, then send "TASK TOKEN SERVER" lines until the process ends."""
+    if mode == "heedless":
         signal.signal(signal.SIGTERM, signal.SIG_IGN)
-    if how == "forking" and os.fork() == 0:
+    if mode == "forking" and os.fork() == 0:
         os.setsid()
     print(f"{os.environ['VALETURN_SERVER']} under {os.environ['VALETURN_FENCE']}", flush=True)
     with socket.create_connection((host, int(port))) as sock:
--- a/valeturn/lab/fault_injection/history_checker.py
+++ b/valeturn/lab/fault_injection/history_checker.py
@@ -1,4 +1,4 @@
-"""Judges a fleet from outside: no member, it hears effects as they arrive and reads what members noted."""
+"""Checks a cluster's invariants from outside: from effects as they arrive and from the records of servers."""
 
 from __future__ import annotations
 
@@ -6,53 +6,62 @@
 
 from ..virtual import percentile
 
-GAP = 0.3  # s between looks of owners that count as a time without one: three of their ticks
-TOLERANCE = 1e-6
+LEADERLESS_GAP_S = 0.3  # between two records of leadership: three ticks of a leader
+QUOTA_TOLERANCE = 1e-6  # calls: rounding errors in the sum of floats
 
 
 class Effect(NamedTuple):
-    at: float
-    duty: str
-    fence: int
+    """One effect that a command of a singleton task sent."""
+
+    at: float  # s, boot clock
+    task: str
+    fencing_token: int
     server: str
-    stale: bool  # a higher fence had been seen
-    done: bool
+    stale: bool  # a higher fencing token had been received before
+    executed: bool
+
 
+class EffectService:
+    """Stand-in service that receives the effects of singleton tasks.
 
-class World:
-    """What duties touch. With fences it refuses what is lower than it has seen; without, it does all."""
+    With `check_tokens` it refuses effects under a lower fencing token than the highest one it has received;
+    without, it executes all of them.
+    """
 
-    def __init__(self, clock, fenced=True):
-        self.clock, self.fenced, self.seen, self.effects = clock, fenced, {}, []
-        self.held = {}  # server -> an event: what it sent is read once that is set
+    def __init__(self, clock, check_tokens=True):
+        self.clock, self.check_tokens, self.highest_tokens, self.effects = clock, check_tokens, {}, []
+        self.blocked_servers = {}  # server -> event; its effects are read once that is set
 
     async def serve(self, reader, writer):
+        """Record every effect of a connection."""
         async for line in reader:
-            duty, fence, server = line.decode().split()
-            if server in self.held:
-                await self.held[server].wait()
-            fence = int(fence)
-            stale = fence < self.seen.get(duty, 0)
-            self.seen[duty] = max(fence, self.seen.get(duty, 0))
-            done = not stale or not self.fenced
-            self.effects.append(Effect(self.clock(), duty, fence, server, stale, done))
-
-    def refused(self):
-        return sum(one.stale and not one.done for one in self.effects)
-
-    def harm(self):
-        return sum(one.stale and one.done for one in self.effects)
-
-    def two_under_one_fence(self):
-        """Fences that two servers had effects under."""
+            task, fencing_token, server = line.decode().split()
+            if server in self.blocked_servers:
+                await self.blocked_servers[server].wait()
+            fencing_token = int(fencing_token)
+            stale = fencing_token < self.highest_tokens.get(task, 0)
+            self.highest_tokens[task] = max(fencing_token, self.highest_tokens.get(task, 0))
+            executed = not stale or not self.check_tokens
+            self.effects.append(Effect(self.clock(), task, fencing_token, server, stale, executed))
+
+    def stale_refused(self):
+        """Return how many stale effects were refused."""
+        return sum(one.stale and not one.executed for one in self.effects)
+
+    def stale_executed(self):
+        """Return how many stale effects were executed: each is an invariant violation."""
+        return sum(one.stale and one.executed for one in self.effects)
+
+    def tokens_shared_by_servers(self):
+        """Return the fencing tokens under which more than one server sent effects of one task."""
         servers = {}
         for one in self.effects:
-            servers.setdefault((one.duty, one.fence), set()).add(one.server)
-        return [fence for fence, names in servers.items() if len(names) > 1]
+            servers.setdefault((one.task, one.fencing_token), set()).add(one.server)
+        return [fencing_token for fencing_token, names in servers.items() if len(names) > 1]
 
 
-def read_notes(paths):
-    """name -> rows of words."""
+def read_records(paths):
+    """Return the records of each server as rows of words, by name; none where the file does not exist yet."""
     out = {}
     for name, path in paths.items():
         try:
@@ -62,55 +71,66 @@
     return out
 
 
-def looks(notes):
-    """(time, term, name) of all moments at which one would have acted, in order."""
+def leadership_records(records):
+    """Return (time, term, name) of all ticks in which a server considered itself the leader, in order."""
     return sorted(
-        (float(row[1]), int(row[2]), name) for name, rows in notes.items() for row in rows if row[0] == "acts"
+        (float(row[1]), int(row[2]), name)
+        for name, rows in records.items()
+        for row in rows
+        if row[0] == "acts"
     )
 
 
-def at_once(seen):
-    """Looks that came after a look of a higher term, and terms of two: none, where the lease holds."""
-    out, highest, who = [], 0, {}
-    for at, term, name in seen:
-        if term < highest or who.setdefault(term, name) != name:
+def overlapping_leaders(leaderships):
+    """Return records after one of a higher term, and those of a second leader of a term.
+
+    There are none where the lease excludes two leaders at once.
+    """
+    out, highest, leader_by_term = [], 0, {}
+    for at, term, name in leaderships:
+        if term < highest or leader_by_term.setdefault(term, name) != name:
             out.append((at, term, name))
         highest = max(highest, term)
     return out
 
 
-def unowned(seen):
-    """s of each time without an owner."""
-    times = [at for at, _, _ in seen]
-    return [b - a for a, b in zip(times, times[1:]) if b - a > GAP]
+def leaderless_gaps(leaderships):
+    """Return the seconds of each period without a leader."""
+    times = [at for at, _, _ in leaderships]
+    return [later - earlier for earlier, later in zip(times, times[1:]) if later - earlier > LEADERLESS_GAP_S]
+
 
+def quota_violations(records, boot_death_times, cap, guaranteed_quota, max_size):
+    """Return (time, total) wherever all servers together might have used more calls than the cap.
 
-def shares_over(notes, deaths, cap, sure, largest):
-    """Moments at which all together might have used more than the cap. deaths: name -> times at which a life
-    of it was over; those that are not there are no part of the sum, as they use nothing."""
+    `boot_death_times` has the times, by name, at which processes of a server ended: from then on it uses
+    nothing.
+    """
     changes = []
-    for name, rows in notes.items():
-        rows = [(float(r[1]), float(r[2]), float(r[3])) for r in rows if r[0] == "share"]
-        marks = [(at, amount) for at, amount, _ in rows]
-        for index, (at, amount, until) in enumerate(rows):
+    for name, rows in records.items():
+        rows = [(float(row[1]), float(row[2]), float(row[3])) for row in rows if row[0] == "share"]
+        usage_changes = [(at, amount) for at, amount, _ in rows]
+        for index, (at, amount, valid_until) in enumerate(rows):
             next_at = rows[index + 1][0] if index + 1 < len(rows) else float("inf")
-            if until < next_at:
-                marks.append((until, sure))  # it falls back to its sure share by itself
-        marks += [(at, 0.0) for at in deaths.get(name, ())]
-        changes += [(at, name, amount) for at, amount in marks]
-    using, out = {}, []
+            if valid_until < next_at:
+                # An expired quota falls back to the guaranteed one.
+                usage_changes.append((valid_until, guaranteed_quota))
+        usage_changes += [(at, 0.0) for at in boot_death_times.get(name, ())]
+        changes += [(at, name, amount) for at, amount in usage_changes]
+    usage, out = {}, []
     for at, name, amount in sorted(changes):
-        using[name] = amount
-        total = sum(using.values())
-        if total > cap + TOLERANCE:
+        usage[name] = amount
+        total = sum(usage.values())
+        if total > cap + QUOTA_TOLERANCE:
             out.append((at, total))
     return out
 
 
-def line(found, **more):
-    """One line of figures."""
-    return " ".join(f"{key}={value}" for key, value in {**more, **found}.items())
+def format_figures(figures, **prefix):
+    """Return figures as a line of key=value, those of `prefix` first."""
+    return " ".join(f"{key}={value}" for key, value in {**prefix, **figures}.items())
 
 
-def p(values, share):
+def format_percentile(values, share):
+    """Return a percentile of seconds as text, "-" without values."""
     return f"{percentile(values, share):.2f}s" if values else "-"
--- a/valeturn/lab/fault_injection/schedule.py
+++ b/valeturn/lab/fault_injection/schedule.py
@@ -1,7 +1,7 @@
-"""Draw a fault schedule ahead of its play, so that a seed is a schedule.
+"""Draws a fault schedule before the first fault, so that a seed always gives the same schedule.
 
-Everything that is drawn comes from a stream of the schedule's own, before the first fault. What can only be
-known while it is played, such as which server leads, stands in it as a role.
+The schedule has a random source of its own. What is known only during the run, such as which server leads, is
+named by a role.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 from ...transport.seeded_random import SeededRandom
 from ..random_streams import warmed_up
 
-LEADER: Final = "the leader"  # a target that is found when the fault is played; another where nobody leads
-SHORTEST_FAULT: Final = 0.3  # leases
-FAULT_SPREAD: Final = 3.0  # leases
-LEADER_STOP_EXTENSION: Final = 2.5  # leases: long enough that another one is elected
-SHORTEST_PAUSE: Final = 0.2  # of the pace
-PAUSE_SPREAD: Final = 1.6  # of the pace
-WHOLE_STOP_SHARE: Final = 0.7  # of stops that stop the server's commands too
-DELAYED_LINK_SHARE: Final = 0.3
-LONGEST_DELAY: Final = 0.2  # s
-CLOCK_RATE_SPREAD: Final = 0.018  # within what the lease allows for
+LEADER: Final = "the leader"  # role, resolved when the fault starts; the fallback where there is no leader
+MIN_FAULT_LEASES: Final = 0.3  # plus the spread below
+FAULT_SPREAD_LEASES: Final = 3.0
+LEADER_STOP_EXTENSION_LEASES: Final = 2.5  # long enough that another leader is elected
+MIN_PAUSE_SHARE: Final = 0.2  # of the mean pause
+PAUSE_SPREAD_SHARE: Final = 1.6  # of the mean pause
+STOP_WITH_COMMANDS_SHARE: Final = 0.7  # of stops that stop the server's commands too
+DELAYED_LINK_SHARE: Final = 0.3  # of links in a fault that delays them
+MAX_DELAY_S: Final = 0.2
+CLOCK_RATE_SPREAD: Final = 0.018  # within the drift that the lease allows for
 
 
 class FaultKind(Enum):
@@ -44,7 +44,7 @@
     FLAP = "flap"
 
 
-# Each fault is drawn from these; a pair that stands more than once comes more often.
+# (kind, whether it is aimed at the leader); a pair that is listed more than once is drawn more often.
 CHOICES: Final = (
     (FaultKind.STOP, False),
     (FaultKind.STOP, True),
@@ -72,7 +72,7 @@
 
     kind: FaultKind
     target: str  # a server's name, or LEADER
-    fallback: str  # the server in its place where nobody leads
+    fallback: str  # the server to use where there is no leader
     peer: str  # the other end of a link
     side: frozenset[str]  # the servers on one side of a partition
     delays: tuple[tuple[tuple[str, str], float], ...]  # s by link
@@ -83,21 +83,24 @@
     pause: float  # s before the next fault
 
     def describe(self) -> str:
-        """Return the fault in a line."""
+        """Return the fault as one line of text."""
         side = f" side={','.join(sorted(self.side))}" if self.kind is FaultKind.PARTITION else ""
-        way = (" in" if self.inbound else " out") if self.kind is FaultKind.ONE_WAY else ""
-        return f"{self.kind.value} {self.target}{way}{side} lasts={self.lasts:.2f}s pause={self.pause:.2f}s"
+        direction = (" in" if self.inbound else " out") if self.kind is FaultKind.ONE_WAY else ""
+        return (
+            f"{self.kind.value} {self.target}{direction}{side} "
+            f"lasts={self.lasts:.2f}s pause={self.pause:.2f}s"
+        )
 
 
 def draw_schedule(
     seed: int, servers: Sequence[str], count: int, lease: float, pace: float
 ) -> list[ScheduledFault]:
-    """Return so many faults; the same arguments give the same ones.
+    """Return `count` faults; the same arguments give the same faults.
 
     Args:
-        seed: Which schedule.
+        seed: Number of the schedule.
         servers: The names of the servers.
-        count: How many faults.
+        count: Number of faults.
         lease: The leader's lease in seconds, which the lengths of faults follow.
         pace: Mean seconds between the starts of two faults.
     """
@@ -106,15 +109,18 @@
 
 
 def _draw(random_source: SeededRandom, servers: Sequence[str], lease: float, pace: float) -> ScheduledFault:
-    """Draw every field, whatever the kind: one more kind does not move what is drawn for the others."""
+    """Draw one fault.
+
+    Every field is drawn whatever the kind is, so that the following faults do not depend on it.
+    """
     kind, at_leader = CHOICES[int(random_source.random() * len(CHOICES))]
     fallback = servers[int(random_source.random() * len(servers))]
-    lasts = lease * (SHORTEST_FAULT + FAULT_SPREAD * random_source.random())
+    lasts = lease * (MIN_FAULT_LEASES + FAULT_SPREAD_LEASES * random_source.random())
     if kind is FaultKind.STOP and at_leader:
-        lasts += LEADER_STOP_EXTENSION * lease
+        lasts += LEADER_STOP_EXTENSION_LEASES * lease
     links = itertools.permutations(servers, 2)
     delays = [
-        (link, random_source.random() < DELAYED_LINK_SHARE, LONGEST_DELAY * random_source.random())
+        (link, random_source.random() < DELAYED_LINK_SHARE, MAX_DELAY_S * random_source.random())
         for link in links
     ]
     inbound = random_source.random()
@@ -125,9 +131,9 @@
         peer=servers[int(random_source.random() * len(servers))],
         side=frozenset(name for name in servers if random_source.random() < 0.5),
         delays=tuple((link, delay) for link, delayed, delay in delays if delayed),
-        whole=random_source.random() < WHOLE_STOP_SHARE,
+        whole=random_source.random() < STOP_WITH_COMMANDS_SHARE,
         inbound=at_leader or inbound < 0.5,
         clock_rate=1 + CLOCK_RATE_SPREAD * (random_source.random() - 0.5),
         lasts=lasts,
-        pause=pace * (SHORTEST_PAUSE + PAUSE_SPREAD * random_source.random()),
+        pause=pace * (MIN_PAUSE_SHARE + PAUSE_SPREAD_SHARE * random_source.random()),
     )
