--- a/tests/lab/test_fault_injection.py
+++ b/tests/lab/test_fault_injection.py
@@ -23,10 +23,10 @@
     """Wait until the server's command has sent some more effects."""
     before = len(effects_of(fleet, server))
 
-    async def seen():
+    async def enough():
         return len(effects_of(fleet, server)) >= before + more
 
-    await fleet.wait_until(seen, 15)
+    await fleet.wait_until(enough, 15)
 
 
 async def has_no_more_effects(fleet, server, quiet=0.4):
@@ -95,12 +95,12 @@
     await fleet.wait_for_leader()
     fleet.partition({"n0", "n1"})
 
-    async def nobody():
+    async def no_leader():
         return await fleet.leader() is None
 
-    await fleet.wait_until(nobody)
+    await fleet.wait_until(no_leader)
     await asyncio.sleep(2.5)
-    assert await nobody()
+    assert await no_leader()
     fleet.heal()
     await fleet.wait_for_leader()
     nothing_broken(fleet)
@@ -168,7 +168,7 @@
     fleet.write_overrides(server)
     await fleet.start_server(others[1])
 
-    async def back():
+    async def has_rejoined():
         status = await fleet.status(others[1])
         return (
             status
@@ -176,7 +176,7 @@
             and len([m for m in status["members"] if m["state"] == "alive"]) == 3
         )
 
-    await fleet.wait_until(back)
+    await fleet.wait_until(has_rejoined)
     assert not fleet.effect_service.tokens_shared_by_servers()
 
 
@@ -185,16 +185,16 @@
     old = await fleet.wait_for_leader()
     await fleet.kill(old)
     new = await fleet.wait_for_leader(other_than=old)
-    voted = next(name for name in fleet.names if name not in (old, new))
-    await fleet.kill(voted, wipe=True)
-    await fleet.start_server(voted)  # one is down and one has lost its vote: none can be elected
+    voter = next(name for name in fleet.names if name not in (old, new))
+    await fleet.kill(voter, wipe=True)
+    await fleet.start_server(voter)  # one is down and one has lost its vote: none can be elected
     await asyncio.sleep(2.5)
-    status = await fleet.status(voted)
+    status = await fleet.status(voter)
     assert status["role"] == "waits for the others named to vote" and await fleet.leader() is None
     await fleet.start_server(old)
 
     async def readmitted():
-        status = await fleet.status(voted)
+        status = await fleet.status(voter)
         return status["role"] in ("follower", "leader")
 
     await fleet.wait_for_leader()
@@ -218,20 +218,20 @@
 async def full_disk_under_the_vote_directory(fleet):
     """The server can't vote but goes on serving."""
     leader = await fleet.wait_for_leader()
-    full = next(name for name in fleet.names if name != leader)
-    fleet.servers[full].path("full").write_text("")
+    server_with_full_disk = next(name for name in fleet.names if name != leader)
+    fleet.servers[server_with_full_disk].path("full").write_text("")
     await fleet.kill(leader)
 
-    async def told():
-        return (await fleet.status(full))["role"] == "its disk does not keep its vote"
+    async def reports_full_disk():
+        return (await fleet.status(server_with_full_disk))["role"] == "its disk does not keep its vote"
 
-    await fleet.wait_until(told)
+    await fleet.wait_until(reports_full_disk)
     await asyncio.sleep(1.5)
     assert await fleet.leader() is None
-    before = len(fleet.servers[full].tries)
+    before = len(fleet.servers[server_with_full_disk].tries)
     await asyncio.sleep(1.0)
-    assert len(fleet.servers[full].tries) > before
-    fleet.servers[full].path("full").unlink()
+    assert len(fleet.servers[server_with_full_disk].tries) > before
+    fleet.servers[server_with_full_disk].path("full").unlink()
     await fleet.wait_for_leader()
     nothing_broken(fleet)
 
@@ -241,7 +241,7 @@
     leader = await fleet.wait_for_leader()
 
     async def admitted(name):
-        async def there():
+        async def is_voter():
             at = await fleet.leader()
             if at is None:
                 return False
@@ -250,7 +250,7 @@
             await fleet.request_control(at, {"do": "fleet", "what": "admit", "server": name})
             return False
 
-        await fleet.wait_until(there)
+        await fleet.wait_until(is_voter)
 
     await admitted("n3")
     await fleet.request_control(leader, {"do": "fleet", "what": "admit", "server": "n4"})
@@ -292,9 +292,8 @@
 async def command_ends_with_the_lease(fleet):
     old = await fleet.wait_for_leader()
     await wait_for_effects(fleet, old)
-    fleet.stop(
-        old, with_commands=False
-    )  # the server alone: the guard ends the command when the lease expires
+    # The server alone: the guard ends the command when the lease expires.
+    fleet.stop(old, with_commands=False)
     await asyncio.sleep(fleet.lease)
     assert await has_no_more_effects(fleet, old)
     new = await fleet.wait_for_leader(other_than=old)
@@ -316,10 +315,10 @@
         server.path("settings.ini").write_text(fleet.settings(server, EFFECT))
         server.process.send_signal(signal.SIGHUP)
 
-    async def dropped():
+    async def only_effect_is_left():
         return [row["duty"] for row in (await fleet.status(leader))["owners"]] == ["effect"]
 
-    await fleet.wait_until(dropped)
+    await fleet.wait_until(only_effect_is_left)
     before = [one.task for one in fleet.effect_service.effects].count("other")
     await asyncio.sleep(0.4)
     assert [one.task for one in fleet.effect_service.effects].count("other") == before
@@ -343,25 +342,25 @@
 async def revived_cluster_has_higher_fencing_tokens_than_before(fleet):
     leader = await fleet.wait_for_leader()
     await wait_for_effects(fleet, leader)
-    left = next(name for name in fleet.names if name != leader)
+    survivor = next(name for name in fleet.names if name != leader)
     before = fleet.effect_service.highest_tokens["effect"]
     for name in fleet.names:
-        if name != left:
+        if name != survivor:
             await fleet.kill(name)
             await fleet.start_server(name)  # they come back without their votes
     await asyncio.sleep(2.5)
     assert await fleet.leader() is None
-    got = await fleet.request_control(left, {"do": "fleet", "what": "revive"})
-    assert got["good"], got
-    assert await fleet.wait_for_leader() == left
-    await wait_for_effects(fleet, left)
+    response = await fleet.request_control(survivor, {"do": "fleet", "what": "revive"})
+    assert response["good"], response
+    assert await fleet.wait_for_leader() == survivor
+    await wait_for_effects(fleet, survivor)
     assert (
         fleet.effect_service.highest_tokens["effect"] > 1 << 28
         and fleet.effect_service.highest_tokens["effect"] > before
     )
 
     async def all_vote():
-        return len((await fleet.status(left))["voters"]) == 3
+        return len((await fleet.status(survivor))["voters"]) == 3
 
     await fleet.wait_until(all_vote)
     nothing_broken(fleet)
--- a/tests/lab/test_fault_injection_maintenance.py
+++ b/tests/lab/test_fault_injection_maintenance.py
@@ -22,18 +22,18 @@
 
 
 async def wait_for_state(fleet, name, *states, timeout=30.0):
-    async def there():
+    async def has_state():
         found = await maintenance_rows(fleet)
         return found is not None and name in found and found[name]["state"] in states
 
-    await fleet.wait_until(there, timeout)
+    await fleet.wait_until(has_state, timeout)
 
 
 async def wait_until_none_left(fleet, timeout=60.0):
-    async def none():
+    async def none_left():
         return await maintenance_rows(fleet) == {}
 
-    await fleet.wait_until(none, timeout)
+    await fleet.wait_until(none_left, timeout)
 
 
 def maintained_in_order(fleet):
@@ -74,11 +74,11 @@
 async def overlapping_requests_at_two_servers_at_once(fleet):
     await fleet.wait_for_leader()
     supervisor = Supervisor(fleet)
-    got = await asyncio.gather(
+    responses = await asyncio.gather(
         request_maintenance(fleet, ["n0", "n1"], "n1"),
         request_maintenance(fleet, ["n1", "n2"], "n2", "kernel"),
     )
-    assert all(one["good"] for one in got)
+    assert all(one["good"] for one in responses)
     await wait_until_none_left(fleet)
     supervisor.task.cancel()
     assert sorted(maintained_in_order(fleet)) == fleet.names, "a repeated request counts once"
@@ -109,10 +109,10 @@
     supervisor = Supervisor(fleet)
     await request_maintenance(fleet, [first], leader)
 
-    async def drains():
+    async def is_draining():
         return any(event == "drain_started" for _, event, _ in events(fleet.servers[first]))
 
-    await fleet.wait_until(drains)
+    await fleet.wait_until(is_draining)
     fleet.stop(first)
     await request_maintenance(fleet, [second], leader)
     await asyncio.sleep(4 * LEASE_S)
@@ -132,10 +132,10 @@
     other = next(name for name in fleet.names if name != leader)
     await request_maintenance(fleet, [other], leader)
 
-    async def drains():
+    async def is_draining():
         return any(event == "drain_started" for _, event, _ in events(fleet.servers[other]))
 
-    await fleet.wait_until(drains)
+    await fleet.wait_until(is_draining)
     await fleet.request_control(leader, {"do": "turns", "what": "back", "servers": [other]}, 8.0)
     before = fleet.servers[other].process.pid
     await wait_until_none_left(fleet)
@@ -152,10 +152,15 @@
     await request_maintenance(fleet, [other], leader)
     await wait_until_none_left(fleet)
     supervisor.task.cancel()
-    tails = [rest for _, event, rest in events(fleet.servers[other]) if event == "maintenance_hook_ended"]
-    assert len(tails) == 2 and "patched" in tails[0] and "back" in tails[1] and "exit_code=0" in tails[0], (
-        tails
-    )
+    hook_events = [
+        rest for _, event, rest in events(fleet.servers[other]) if event == "maintenance_hook_ended"
+    ]
+    assert (
+        len(hook_events) == 2
+        and "patched" in hook_events[0]
+        and "back" in hook_events[1]
+        and "exit_code=0" in hook_events[0]
+    ), hook_events
 
 
 @case(singleton_tasks=MAINTENANCE)
@@ -182,11 +187,11 @@
     await request_maintenance(fleet, [first, second], leader, work=2.0)
     await wait_for_state(fleet, first, "in work")
 
-    async def late():
+    async def is_late():
         found = await maintenance_rows(fleet, leader)
         return found and found[first]["late"] and found[second]["state"] == "waits"
 
-    await fleet.wait_until(late)
+    await fleet.wait_until(is_late)
     supervisor = Supervisor(fleet)  # from now on it returns
     await wait_until_none_left(fleet)
     supervisor.task.cancel()
--- a/valeturn/lab/fault_injection/history_checker.py
+++ b/valeturn/lab/fault_injection/history_checker.py
@@ -62,13 +62,13 @@
 
 def read_records(paths):
     """Return the records of each server as rows of words, by name; none where the file does not exist yet."""
-    out = {}
+    rows_by_name = {}
     for name, path in paths.items():
         try:
-            out[name] = [line.split() for line in path.read_text().splitlines()]
+            rows_by_name[name] = [line.split() for line in path.read_text().splitlines()]
         except FileNotFoundError:
-            out[name] = []
-    return out
+            rows_by_name[name] = []
+    return rows_by_name
 
 
 def leadership_records(records):
@@ -86,12 +86,12 @@
 
     There are none where the lease excludes two leaders at once.
     """
-    out, highest, leader_by_term = [], 0, {}
+    violations, highest, leader_by_term = [], 0, {}
     for at, term, name in leaderships:
         if term < highest or leader_by_term.setdefault(term, name) != name:
-            out.append((at, term, name))
+            violations.append((at, term, name))
         highest = max(highest, term)
-    return out
+    return violations
 
 
 def leaderless_gaps(leaderships):
@@ -117,13 +117,13 @@
                 usage_changes.append((valid_until, guaranteed_quota))
         usage_changes += [(at, 0.0) for at in boot_death_times.get(name, ())]
         changes += [(at, name, amount) for at, amount in usage_changes]
-    usage, out = {}, []
+    usage, violations = {}, []
     for at, name, amount in sorted(changes):
         usage[name] = amount
         total = sum(usage.values())
         if total > cap + QUOTA_TOLERANCE:
-            out.append((at, total))
-    return out
+            violations.append((at, total))
+    return violations
 
 
 def format_figures(figures, **prefix):
--- a/valeturn/lab/fault_injection/virtual.py
+++ b/valeturn/lab/fault_injection/virtual.py
@@ -18,7 +18,7 @@
 LEASE_S, PROBE_INTERVAL_S, QUOTA_ROUND_S = 2.0, 1.0, 0.5
 CALL_CAP = 400  # concurrent calls of all nodes together
 MIN_DELAY_S = 0.002  # of a message one way; at most twice as much
-TICK_S = 0.1
+TICK_S = 0.1  # by the clock of each server
 
 
 class VirtualLinks:
@@ -34,9 +34,11 @@
         self.network.send(self, at, kind, fields)
 
     def tick(self):
+        """Do nothing: there are no connections to maintain."""
         pass
 
     def close_now(self):
+        """Do nothing: there are no connections to close."""
         pass
 
 
