--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize("servers", [2, 3, 7])
 def test_sum_of_quotas_never_exceeds_limit_and_much_is_lent(servers):
     for seed in range(4):
-        play = shares.Play(seed, servers)
+        play = shares.QuotaSimulation(seed, servers)
         play.run(200.0)
         assert play.lent > 30
 
@@ -93,8 +93,8 @@
 def test_planted_fault_is_found_by_random_schedules(client, allocator):
     for seed in range(12):
         try:
-            shares.Play(seed, 4, holder=client, splitter=allocator).run(300.0)
-        except shares.Over:
+            shares.QuotaSimulation(seed, 4, client=client, allocator=allocator).run(300.0)
+        except shares.CapExceeded:
             return
     raise AssertionError("not found")
 
@@ -109,16 +109,16 @@
     ],
 )
 def test_planted_fault_is_found_by_model_checker_with_short_trace(client, allocator, bounds):
-    found = shares.explore(bounds, client, allocator, shares.lent)
+    found = shares.explore(bounds, client, allocator, shares.lending_state)
     assert found.broken == "the sum of shares is under the cap"
-    assert len(shares.tell(found.story)) <= 8
-    correct = shares.explore(bounds._replace(states=8_000), start=shares.lent)
+    assert len(shares.describe(found.story)) <= 8
+    correct = shares.explore(bounds._replace(states=8_000), start=shares.lending_state)
     assert correct.broken is None
     assert correct.states >= 8_000
 
 
 def test_all_states_within_small_bounds_are_correct():
-    found = shares.explore(shares.Bounds(asks=1, steps=2, owners=1, flying=2), start=shares.lent)
+    found = shares.explore(shares.Bounds(asks=1, steps=2, owners=1, flying=2), start=shares.lending_state)
     assert found.whole
     assert found.broken is None
     assert found.states > 150
--- a/tests/lab/test_fleet_trial.py
+++ b/tests/lab/test_fleet_trial.py
@@ -1,4 +1,4 @@
-"""What harms when two hundred servers do it at once, and what the fleet trial asks of a server's start."""
+"""Behaviour that matters when 200 servers show it at once, the start of a server, and the scenario days."""
 
 import json
 import os
@@ -16,20 +16,20 @@
 from helpers import Caller, Ends
 from program_support import ROOT, answers, changed, submit
 
-from valeturn.admission import controller as rules_module
+from valeturn.admission import controller as controller_module
 from valeturn.admission import interface
 from valeturn.admission.controller import AdmissionController
 from valeturn.dispatch.registry_client import RegistryClient
 from valeturn.lab.fleet_scenarios import days, history_checker
 from valeturn.lab.fleet_scenarios.baselines import Pool
-from valeturn.lab.fleet_scenarios.gateways import Asked, Try
+from valeturn.lab.fleet_scenarios.gateways import Attempt, ClientRequest
 from valeturn.lab.fleet_scenarios.main import days_named, play
-from valeturn.lab.fleet_scenarios.world import Fleet
+from valeturn.lab.fleet_scenarios.simulation import FleetSimulation
 from valeturn.protocol import executor as executor_protocol
 from valeturn.transport.scheduler import Scheduler
 from valeturn.transport.seeded_random import SeededRandom
 
-# ---- how a server is started
+# ---- the start of a server
 
 TRACED = """
 import os, runpy, sys
@@ -45,16 +45,16 @@
 """
 
 
-def started(tmp_path, before=""):
-    """The deploy file's `run` line from the root, by this Python; what its audit hook saw up to its end."""
+def run_traced_server(tmp_path, before=""):
+    """Run the deploy file's `run` line with this Python until SIGTERM; return the audit events."""
     with open(ROOT / "deploy" / "balancer.toml", "rb") as file:
         words = shlex.split(tomllib.load(file)["run"])
-    assert words[0] == "exec" and words[2:] == ["-m", "valeturn"], "one process, in the shell's place"
-    raw = changed("stop_ms", 1000)
+    assert words[0] == "exec" and words[2:] == ["-m", "valeturn"], "one process, which replaces the shell"
+    configuration = changed("stop_ms", 1000)
     own = f"127.{60 + os.getpid() % 30}.{os.getpid() // 30 % 250}.9"
     for field in ("listen", "executor", "ledger", "naming"):
-        raw[field] = f"{own}:{raw[field].rpartition(':')[2]}"
-    (tmp_path / "config.json").write_text(json.dumps(raw))
+        configuration[field] = f"{own}:{configuration[field].rpartition(':')[2]}"
+    (tmp_path / "config.json").write_text(json.dumps(configuration))
     (tmp_path / "only").mkdir()
     code = TRACED + before + "\nsys.argv = ['valeturn']\nrunpy.run_module('valeturn', run_name='__main__')\n"
     run = subprocess.Popen(
@@ -72,27 +72,27 @@
     )
     while "event=server_listening" not in (line := run.stderr.readline()):
         assert line, run.communicate()
-    pid_is_the_shell_s = os.readlink(f"/proc/{run.pid}/exe") == os.path.realpath(sys.executable)
+    replaced_shell = os.readlink(f"/proc/{run.pid}/exe") == os.path.realpath(sys.executable)
     with socket.create_connection((own, 4100), timeout=10):
         run.send_signal(signal.SIGTERM)
         out, log = run.communicate(timeout=20)
-    assert run.returncode == 0 and "clean=True" in log and pid_is_the_shell_s
+    assert run.returncode == 0 and "clean=True" in log and replaced_shell
     return [line[7:] for line in out.splitlines() if line.startswith("TRACED ")]
 
 
-def test_without_an_operator_s_file_no_process_no_unix_socket_and_nothing_written(tmp_path):
-    seen = started(tmp_path)
+def test_without_operator_file_starts_no_process_opens_no_unix_socket_and_writes_nothing(tmp_path):
+    seen = run_traced_server(tmp_path)
     assert seen and {line for line in seen} == {f"socket.__new__ {int(socket.AF_INET)}"}
     assert not list((tmp_path / "only").iterdir())
 
 
-def test_the_trace_would_see_them(tmp_path):
+def test_trace_detects_processes_and_unix_sockets(tmp_path):
     bad = "import socket, subprocess; socket.socketpair(); subprocess.run(['true'])"
-    seen = started(tmp_path, bad)
+    seen = run_traced_server(tmp_path, bad)
     assert f"socket.__new__ {int(socket.AF_UNIX)}" in seen and any("subprocess" in line for line in seen)
 
 
-def test_the_deploy_file_names_all_that_a_server_loads():
+def test_deploy_file_names_every_module_that_a_server_loads():
     done = subprocess.run(
         [
             sys.executable,
@@ -112,11 +112,11 @@
         assert any(path.is_relative_to(named) for named in deploy["node"] + deploy["policy"]), path
 
 
-# ---- two hundred at once
+# ---- two hundred servers at once
 
 
-class Virtual(Scheduler):
-    """Time goes from one timer to the next."""
+class VirtualScheduler(Scheduler):
+    """A scheduler whose clock jumps from one timer to the next."""
 
     def __init__(self):
         self.now = 0.0
@@ -128,48 +128,52 @@
         return False
 
 
-def test_servers_that_start_at_one_tick_soon_report_apart():
-    """The fullest hundredth of a second of the last three of 30, for 200 servers started at one moment."""
-    scheduler, reports = Virtual(), []
+def test_reports_of_servers_started_at_once_spread_out():
+    """Of 200 servers started at once, at most 20 report in any 0.01 s of the last three of 30 seconds."""
+    scheduler, reports = VirtualScheduler(), []
 
-    class Told(RegistryClient):
+    class RecordingRegistryClient(RegistryClient):
         def report(self):
             reports.append(scheduler.now)
             return True
 
     for number in range(200):
-        Told(scheduler, ("127.0.0.1", 1), f"n{number}", SeededRandom(0x9E3779B97F4A7C15 * (number + 1)), len)
+        RecordingRegistryClient(
+            scheduler, ("127.0.0.1", 1), f"n{number}", SeededRandom(0x9E3779B97F4A7C15 * (number + 1)), len
+        )
     scheduler.call_later(30.0, scheduler.stop)
     scheduler.run()
-    assert len([t for t in reports if t == 0.0]) == 200, "the first tells that it is there"
+    assert len([t for t in reports if t == 0.0]) == 200, "each reports at its start"
     last = [int(100 * t) for t in reports if t >= 27.0]
     assert len(last) >= 200 * 4 and max(last.count(slot) for slot in set(last)) <= 20
 
 
-def test_ever_new_callers_and_ids_leave_every_table_bounded():
-    """45 minutes, four submissions a second, each from a caller never seen before; then a caller that stays
-    keeps its place among them."""
-    s = interface.Settings(
+def test_controller_tables_stay_bounded_with_ever_new_callers_and_ids():
+    """For 45 minutes, four submissions per second come from ever new callers; a caller that returns regularly
+    keeps its entry."""
+    settings = interface.Settings(
         workloads=days.WORKLOADS, cores=2, tick=0.005, answer_slack=0.1, call_quota_window=5.0
     )
-    rules = AdmissionController(s, 1, 0.0)
+    controller = AdmissionController(settings, 1, 0.0)
     for number in range(45 * 60 * 4):
         now = number / 4
         caller = 7 if number % 100 == 0 else 1000 + number
-        rules.decide(now, [interface.Arrived(number, 1, caller=caller, time_left=2.0, cost_hint=0.1)])
-        rules.decide(
+        controller.decide(now, [interface.Arrived(number, 1, caller=caller, time_left=2.0, cost_hint=0.1)])
+        controller.decide(
             now + 0.1,
             [
                 interface.Ended(number, interface.Outcome.DONE, 0.1),
                 interface.TimerFired(0, interface.Gauges(0.2, 0)),
             ],
         )
-    sizes = {name: len(value) for name, value in vars(rules).items() if hasattr(value, "__len__")}
-    assert sizes.pop("usual_timeouts") == rules_module.MAX_USUAL_TIMEOUTS and max(sizes.values()) < 50, sizes
-    assert (7, 1) in rules.usual_timeouts
+    sizes = {name: len(value) for name, value in vars(controller).items() if hasattr(value, "__len__")}
+    assert sizes.pop("usual_timeouts") == controller_module.MAX_USUAL_TIMEOUTS and max(sizes.values()) < 50, (
+        sizes
+    )
+    assert (7, 1) in controller.usual_timeouts
 
 
-def test_ever_new_ids_leave_the_owner_s_tables_empty():
+def test_dispatcher_tables_are_empty_after_ever_new_ids():
     ends = Ends()
     for number in range(3000):
         caller = Caller()
@@ -185,114 +189,124 @@
     )
 
 
-# ---- the days, small
+# ---- the scenario days, with a small fleet
 
 
-SMALL = dict(servers=12, gateways=6, seconds=24.0)
+SMALL_FLEET = dict(servers=12, gateways=6, seconds=24.0)
 
 
 @pytest.mark.parametrize("name", days.DAYS)
-def test_each_day_keeps_the_rules_and_earns_more_than_a_plain_pool(name):
-    module, pool = (play(name, 3, rules=which, **SMALL) for which in ("module", "pool"))
+def test_each_day_keeps_the_guarantees_and_earns_more_than_a_worker_pool(name):
+    module, pool = (play(name, 3, policy_name=policy, **SMALL_FLEET) for policy in ("module", "pool"))
     assert module[4] == 0, module[0]
     assert module[2] > pool[2], "on the same demand"
-    assert play(name, 3, rules="module", **SMALL)[0] == module[0], "the same seed plays the same"
+    assert play(name, 3, policy_name="module", **SMALL_FLEET)[0] == module[0], (
+        "the same seed gives the same day"
+    )
     with pytest.raises(KeyError):
         days_named(f"calm,{name}s")
 
 
-def test_days_differ_by_their_seed_and_keep_to_what_they_say():
+def test_days_differ_by_seed_and_match_their_description():
     drawn = [days.draw("zone", seed, 40, 20, 40.0) for seed in range(1, 21)]
-    slows = [slow for day in drawn for slow in day.slows]
-    assert {slow.failing > 0 for slow in slows} == {True, False} and {day.zones for day in drawn} == {1, 2, 3}
-    assert all(len(slow.servers) == 5 for slow in slows), "one in eight"
+    slowdowns = [slow for day in drawn for slow in day.slowdowns]
+    assert {slow.failing > 0 for slow in slowdowns} == {True, False} and {day.zones for day in drawn} == {
+        1,
+        2,
+        3,
+    }
+    assert all(len(slow.servers) == 5 for slow in slowdowns), "one in eight"
     for name in days.DAYS:
         day = days.draw(name, 4, 40, 20, 40.0)
-        assert all(0 <= n < 40 for out in day.outs for n in out.servers)
+        assert all(0 <= n < 40 for outage in day.outages for n in outage.servers)
         assert all(0 <= n < 20 for restart in day.restarts for n in restart.gateways)
-    gone = days.draw("join", 4, 40, 20, 40.0).outs
-    assert sum(len(out.servers) for out in gone) == 24 and gone[-1].at - gone[0].at <= 7.0
+    outages = days.draw("join", 4, 40, 20, 40.0).outages
+    assert sum(len(outage.servers) for outage in outages) == 24 and outages[-1].at - outages[0].at <= 7.0
     (restart,) = days.draw("herd", 4, 40, 20, 40.0).restarts
-    assert len(restart.gateways) == 14 and restart.over == 1.0
+    assert len(restart.gateways) == 14 and restart.spread == 1.0
     assert days.draw("split", 4, 40, 20, 40.0).list_lag[0] >= 5.0
 
 
-class Bad(AdmissionController):
-    """A module with one fault planted."""
+class FaultyController(AdmissionController):
+    """A controller with one planted fault."""
 
     fault = None
 
     def decide(self, now, events):
         if self.fault == "drain":
-            events = [e for e in events if not isinstance(e, interface.DrainStarted)]
-        out = super().decide(now, events)
+            events = [event for event in events if not isinstance(event, interface.DrainStarted)]
+        actions = super().decide(now, events)
         if self.fault == "silent":
-            out = [a for a in out if not isinstance(a, (interface.Fail, interface.Reject))]
+            actions = [
+                action for action in actions if not isinstance(action, (interface.Fail, interface.Reject))
+            ]
         elif self.fault == "again":
-            out += [
-                interface.Reject(a.id, 0.0, False)
-                for a in out
-                if isinstance(a, interface.Start) and self.submissions[a.id].workload == 2
+            actions += [
+                interface.Reject(action.id, 0.0, False)
+                for action in actions
+                if isinstance(action, interface.Start) and self.submissions[action.id].workload == 2
             ]
-        return out
+        return actions
 
 
-@pytest.mark.parametrize("fault, found", [("silent", "lost"), ("again", "back_after_run"), ("drain", "lost")])
-def test_the_witness_finds_each_planted_fault(fault, found):
-    day = days.draw("join", 3, **{**SMALL, "seconds": 16.0})
-    fleet = Fleet(day, type("Planted", (Bad,), {"fault": fault}))
+@pytest.mark.parametrize(
+    "fault, found", [("silent", "lost"), ("again", "rejected_after_start"), ("drain", "lost")]
+)
+def test_history_checker_finds_each_planted_fault(fault, found):
+    day = days.draw("join", 3, **{**SMALL_FLEET, "seconds": 16.0})
+    fleet = FleetSimulation(day, type("Planted", (FaultyController,), {"fault": fault}))
     fleet.run()
-    assert getattr(fleet.witness, found) > 0, fleet.witness.line()
-
-
-def test_the_witness_counts_effects_and_answers_by_themselves():
-    seen = history_checker.Witness()
-    asked = Asked(0.0, 2, 0.4, 0.4, 0.5, 0, 1, 6.0, once=True)
-    server_ = type("S", (), {"grace_over": 2.0, "life": 1, "up": True})
-    one, other = (Try(asked, None, server_, 0.0, 3.0) for _ in range(2))
-    one.reached_at, other.reached_at, one.life, other.life = 1.0, 2.5, 1, 1
-    other.read_at = 2.6
-    seen.began(one, server_, 1.1)
-    assert (seen.twice, seen.late_in_drain) == (0, 0)
-    seen.began(other, server_, 2.6)
-    assert (seen.twice, seen.late_in_drain) == (1, 1)
-    seen.answered(one, history_checker.DELIVERED)
-    seen.answered(one, history_checker.WRITTEN_OFF)
-    seen.due(other)
-    assert (seen.answered_twice, seen.lost) == (1, 1) and seen.broken() == 4
-
-
-def test_a_plain_pool_keeps_a_short_queue():
+    assert getattr(fleet.history, found) > 0, fleet.history.summary()
+
+
+def test_history_checker_counts_effects_and_answers_independently():
+    checker = history_checker.HistoryChecker()
+    request = ClientRequest(0.0, 2, 0.4, 0.4, 0.5, 0, 1, 6.0, unrepeatable=True)
+    fake_server = type("S", (), {"grace_ends_at": 2.0, "incarnation": 1, "up": True})
+    first, second = (Attempt(request, None, fake_server, 0.0, 3.0) for _ in range(2))
+    first.reached_at, second.reached_at, first.incarnation, second.incarnation = 1.0, 2.5, 1, 1
+    second.read_at = 2.6
+    checker.record_start(first, fake_server, 1.1)
+    assert (checker.repeated_runs, checker.started_after_grace) == (0, 0)
+    checker.record_start(second, fake_server, 2.6)
+    assert (checker.repeated_runs, checker.started_after_grace) == (1, 1)
+    checker.record_answer(first, history_checker.DELIVERED)
+    checker.record_answer(first, history_checker.FAILED)
+    checker.check_deadline(second)
+    assert (checker.answered_twice, checker.lost) == (1, 1) and checker.violation_count() == 4
+
+
+def test_worker_pool_keeps_a_short_queue():
     pool = Pool(interface.Settings(workloads=days.WORKLOADS, cores=1), 1, 0.0)
-    out = pool.decide(0.0, [interface.Arrived(n, 1, time_left=2.0) for n in range(9)])
-    assert [a.id for a in out if isinstance(a, interface.Start)] == [0, 1]
-    assert [a.id for a in out if isinstance(a, interface.Reject)] == [4, 5, 6, 7, 8]
+    actions = pool.decide(0.0, [interface.Arrived(n, 1, time_left=2.0) for n in range(9)])
+    assert [action.id for action in actions if isinstance(action, interface.Start)] == [0, 1]
+    assert [action.id for action in actions if isinstance(action, interface.Reject)] == [4, 5, 6, 7, 8]
 
 
-# ---- a reload in the middle of a release
+# ---- a reload during a release
 
 
 def forward(address, to):
-    """Another address of the same outsider: every connection is carried on to it."""
+    """Listen on another address of the same service and forward every connection to it."""
     listener = socket.create_server(address)
 
-    def carry(one, other):
+    def copy_bytes(source, destination):
         try:
-            while data := one.recv(65536):
-                other.sendall(data)
-            other.shutdown(socket.SHUT_WR)
+            while data := source.recv(65536):
+                destination.sendall(data)
+            destination.shutdown(socket.SHUT_WR)
         except OSError:
             pass
 
     def accept():
         while True:
             try:
-                here, _ = listener.accept()
+                incoming, _ = listener.accept()
             except OSError:
                 return
-            there = socket.create_connection(to)
-            for pair in ((here, there), (there, here)):
-                threading.Thread(target=carry, args=pair, daemon=True).start()
+            outgoing = socket.create_connection(to)
+            for pair in ((incoming, outgoing), (outgoing, incoming)):
+                threading.Thread(target=copy_bytes, args=pair, daemon=True).start()
 
     threading.Thread(target=accept, daemon=True).start()
     return listener
@@ -301,25 +315,25 @@
 @pytest.mark.parametrize("first", [signal.SIGHUP, signal.SIGTERM])
 def test_all_addresses_move_while_the_server_drains(server, tmp_path, first):  # noqa: F811
     run, address, _ = server
-    raw = json.loads((tmp_path / "config.json").read_text())
+    configuration = json.loads((tmp_path / "config.json").read_text())
     listeners = []
     for number, field in enumerate(("executor", "ledger", "naming")):
-        host, _, port = raw[field].rpartition(":")
+        host, _, port = configuration[field].rpartition(":")
         listeners.append(forward((host, 4290 + 10 * first + number), (host, int(port))))
-        raw[field] = f"{host}:{4290 + 10 * first + number}"
+        configuration[field] = f"{host}:{4290 + 10 * first + number}"
     with socket.create_connection(address, timeout=20) as sock:
         for stream in range(1, 11):
             sock.sendall(submit(stream, "file"))
         time.sleep(0.02)
-        (tmp_path / "config.json").write_text(json.dumps(raw))
+        (tmp_path / "config.json").write_text(json.dumps(configuration))
         for number in (first, *({signal.SIGHUP, signal.SIGTERM} - {first})):
             run.send_signal(number)
             time.sleep(0.01)
         sock.sendall(submit(11, "quote"))
-        got, _ = answers(sock, 11)
+        received, _ = answers(sock, 11)
     _, log = run.communicate(timeout=20)
     for listener in listeners:
         listener.shutdown(socket.SHUT_RDWR)
         listener.close()
-    assert {code for code, _ in got.values()} == {1} and len(got) == 11
+    assert {code for code, _ in received.values()} == {1} and len(received) == 11
     assert "moved=executor,naming,ledger" in log and "unanswered=0 took" in log and "clean=True" in log
--- a/valeturn/lab/emulator.py
+++ b/valeturn/lab/emulator.py
@@ -1,10 +1,9 @@
-"""Many servers in virtual time, each with the real module and the real levels: load, cores, a shared
-dependency.
+"""Simulates many servers in virtual time, each with the real admission controller and degradation levels.
 
-What it leaves out, and where it should therefore not be believed: the network and its delays, CPU of the
-program itself, connections, callers' own choice of servers (a caller draws one at random among those on its
-list, which lags), memory, and pauses of machines. Cores are shared evenly among what runs; a crowd beyond
-them costs nothing more.
+The simulation covers load, cores and a shared dependency. It leaves out, and its results say nothing about:
+the network and its delays, the CPU time of the program itself, connections, callers' own choice of servers
+(a caller draws one at random from its list, which lags), memory, and pauses of machines. Cores are shared
+evenly among the runs; more runs than cores cost nothing beyond the sharing.
 """
 
 from __future__ import annotations
@@ -18,67 +17,86 @@
 from ..dispatch.degradation_monitor import DegradationMonitor
 from ..transport.seeded_random import SeededRandom
 
-LAG = 1.5  # s that callers' lists are behind
-BACK_OFF = 0.1  # s after which a caller comes again where it was not told when
-TRIES = 3
-SWEEP = 0.1
-FASTEST = 0.3  # s that a dependency that fails does so in at the most
+LIST_LAG_S = 1.5  # seconds by which callers' server lists lag
+BACKOFF_S = 0.1  # seconds before a caller retries when the server named no time
+MAX_ATTEMPTS = 3  # per submission
+SWEEP_INTERVAL_S = 0.1  # seconds between a server's periodic timers
+MAX_FAILURE_TIME_S = 0.3  # seconds within which a failing dependency call fails
 
 
 class Mix(NamedTuple):
-    """What callers send of one workload."""
+    """The share and the cost of one workload in what callers send."""
 
-    share: float  # of submissions
-    work: float  # s of one core at the mean
-    calls: bool
+    share: float  # of all submissions
+    work: float  # mean core seconds of one run
+    calls: bool  # whether a run makes a call on the dependency
 
 
-class Scene(NamedTuple):
-    """One run of the emulator."""
+class Scenario(NamedTuple):
+    """The servers, load and faults of one simulation."""
 
     servers: int
-    seconds: float
+    seconds: float  # during which submissions arrive
     settings: interface.Settings
     mix: tuple  # of Mix, by workload
-    load: object  # t -> submissions a second, over all servers
-    call_time: float = 0.02  # s, of an idle dependency
-    call_room: float = 40.0  # calls at once at which it is full
-    slow: object = lambda t: 1.0  # t -> times that it is slower
-    failing: object = lambda t: 0.0  # t -> share of calls that it fails
-    crashes: tuple = ()  # (t, share of servers that are lost, s until they are back, cold)
-    levels: tuple = ()  # of decision.Level
+    load: object  # time -> submissions per second over all servers
+    call_time: float = 0.02  # mean seconds of a call while the dependency is idle
+    call_capacity: float = 40.0  # concurrent calls that saturate the dependency
+    slowdown: object = lambda t: 1.0  # time -> factor by which calls take longer
+    failing: object = lambda t: 0.0  # time -> share of calls that fail
+    crashes: tuple = ()  # (time, share of servers lost, seconds until they return, whether they return cold)
+    levels: tuple = ()  # of degradation.controller.DegradationLevel
 
 
 class Run:
-    """A submission on a server's cores."""
+    """The execution of a submission on a server's cores; work is in core seconds."""
 
-    __slots__ = ("after", "left", "state", "sub")
+    __slots__ = ("call_generation", "submission", "work_after_call", "work_left")
 
-    def __init__(self, sub, left, after):
-        self.sub, self.left, self.after = sub, left, after
-        self.state = 0  # counts what was asked for, so that old ends mean nothing
+    def __init__(self, submission, work_left, work_after_call):
+        self.submission, self.work_left, self.work_after_call = submission, work_left, work_after_call
+        self.call_generation = 0  # counts the calls of the run, so that the end of an earlier call is ignored
 
 
 class Submission:
-    __slots__ = ("born", "done", "due", "slim", "started", "tenant", "tries", "work", "workload")
-
-    def __init__(self, born, workload, work, due, tenant):
-        self.born, self.workload, self.work, self.due, self.tenant = born, workload, work, due, tenant
-        self.tries, self.done, self.slim, self.started = 0, None, False, False
+    """One submission of a caller, over all its attempts; times are in seconds of virtual time."""
+
+    __slots__ = (
+        "created_at",
+        "outcome",
+        "deadline",
+        "degraded",
+        "started",
+        "tenant",
+        "attempts",
+        "work",
+        "workload",
+    )
+
+    def __init__(self, created_at, workload, work, deadline, tenant):
+        self.created_at, self.workload, self.work, self.deadline, self.tenant = (
+            created_at,
+            workload,
+            work,
+            deadline,
+            tenant,
+        )
+        self.attempts, self.outcome, self.degraded, self.started = 0, None, False, False
 
 
 class Totals:
-    def __init__(self, scene):
-        self.changes = self.refused_after_start = 0
-        self.sent = [0] * len(scene.mix)
-        self.delivered, self.late, self.slim = list(self.sent), list(self.sent), list(self.sent)
-        self.turned_back, self.written_off, self.worth, self.all_worth = 0, 0, 0.0, 0.0
-        self.by_second = [
-            [0.0, 0.0, 0.0, 0] for _ in range(int(scene.seconds) + 61)
-        ]  # sent, worth, level, turned
-
-    def worst(self, span):
-        """The least share of the revenue sent that was earned, over any so many seconds."""
+    """What the simulation counts: per workload, in all, and per second."""
+
+    def __init__(self, scenario):
+        self.level_changes = self.rejected_after_start = 0
+        self.sent = [0] * len(scenario.mix)
+        self.delivered, self.late, self.degraded = list(self.sent), list(self.sent), list(self.sent)
+        self.rejected, self.failed, self.earned_value, self.offered_value = 0, 0, 0.0, 0.0
+        # Per second: value offered, value earned, mean level, rejections.
+        self.by_second = [[0.0, 0.0, 0.0, 0] for _ in range(int(scenario.seconds) + 61)]
+
+    def worst_window(self, span):
+        """Return the least share of the offered value that was earned in any window of `span` seconds."""
         rows, least = self.by_second, 1.0
         for start in range(0, max(1, len(rows) - 60 - span)):
             sent = sum(row[0] for row in rows[start : start + span])
@@ -86,131 +104,150 @@
                 least = min(least, sum(row[1] for row in rows[start : start + span]) / sent)
         return least
 
-    def line(self):
+    def summary(self):
+        """Return the totals as one line of key=value fields."""
         return (
-            f"changes={self.changes} refused_after_start={self.refused_after_start} "
-            f"delivered={sum(self.delivered)} slim={sum(self.slim)} late={sum(self.late)} "
-            f"turned_back={self.turned_back} failed={self.written_off} "
-            f"earned={self.worth / max(1e-9, self.all_worth):.4f} worst_10s={self.worst(10):.4f}"
+            f"changes={self.level_changes} refused_after_start={self.rejected_after_start} "
+            f"delivered={sum(self.delivered)} slim={sum(self.degraded)} late={sum(self.late)} "
+            f"turned_back={self.rejected} failed={self.failed} "
+            f"earned={self.earned_value / max(1e-9, self.offered_value):.4f} "
+            f"worst_10s={self.worst_window(10):.4f}"
         )
 
 
 class Server:
-    def __init__(self, world, name, cold, seed):
-        self.world, self.name, self.seed, self.up = world, name, seed, True
+    """A simulated server: its cores, its runs and the admission controller that decides for it."""
+
+    def __init__(self, simulation, name, cold, seed):
+        self.simulation, self.name, self.seed, self.up = simulation, name, seed, True
         self.start(cold)
 
     def start(self, cold):
-        scene, now = self.world.scene, self.world.now
-        self.up, self.runs, self.subs, self.calls = True, {}, {}, {}
-        self.moved_at, self.version, self.cold, self.born = now, 0, cold, now
-        self.numbers = getattr(self, "numbers", 0)
+        """Begin a new process with nothing open."""
+        scenario, now = self.simulation.scenario, self.simulation.now
+        self.up, self.runs, self.submissions, self.calls = True, {}, {}, {}
+        self.advanced_at, self.version, self.cold, self.started_at = now, 0, cold, now
+        self.last_number = getattr(self, "last_number", 0)
         self.busy = 0.0
-        s = scene.settings._replace(starts_cold=cold)
-        self.rules = self.world.make_rules(s, self.seed, now)
+        settings = scenario.settings._replace(starts_cold=cold)
+        self.controller = self.simulation.make_controller(settings, self.seed, now)
         self.reducing = (
-            DegradationMonitor(now, scene.levels, s, self.count, lambda *_: None) if scene.levels else None
+            DegradationMonitor(now, scenario.levels, settings, self.count, lambda *_: None)
+            if scenario.levels
+            else None
         )
         self.decide(self.reducing.told(now, [], {}) if self.reducing else [])
 
     def count(self, name):
-        self.world.totals.changes += name == "levels.changes"
+        """Count a counter of the degradation monitor; only level changes are kept."""
+        self.simulation.totals.level_changes += name == "levels.changes"
 
-    # ---- cores: shared evenly
+    # ---- cores, shared evenly among the runs
 
     def speed(self):
-        s = self.world.scene.settings
+        """Return the core seconds per second that each run gets now."""
+        settings = self.simulation.scenario.settings
         warm = 1.0
-        if self.cold and s.warm_up_time:
+        if self.cold and settings.warm_up_time:
             warm = min(
                 1.0,
-                s.cold_start_speed + (1 - s.cold_start_speed) * (self.world.now - self.born) / s.warm_up_time,
+                settings.cold_start_speed
+                + (1 - settings.cold_start_speed)
+                * (self.simulation.now - self.started_at)
+                / settings.warm_up_time,
             )
-        on = len(self.runs)
-        return warm * min(1.0, s.cores / on) if on else warm
+        running = len(self.runs)
+        return warm * min(1.0, settings.cores / running) if running else warm
 
-    def move(self):
-        """Brings all runs to now."""
-        passed = self.world.now - self.moved_at
-        if passed > 0:
+    def advance_runs(self):
+        """Advance all runs to the current time and update the smoothed utilization of the cores."""
+        elapsed = self.simulation.now - self.advanced_at
+        if elapsed > 0:
             rate = self.rate if self.runs else 0.0
             for run in self.runs.values():
-                run.left -= passed * rate
-            keep = math.exp(-passed / 0.5)
-            used = min(1.0, len(self.runs) / self.world.scene.settings.cores)
-            self.busy = self.busy * keep + used * (1 - keep)
-            self.moved_at = self.world.now
-
-    def plan(self):
-        """When the next run reaches its call or its end."""
+                run.work_left -= elapsed * rate
+            keep = math.exp(-elapsed / 0.5)  # smoothing with a time constant of 0.5 seconds
+            utilization = min(1.0, len(self.runs) / self.simulation.scenario.settings.cores)
+            self.busy = self.busy * keep + utilization * (1 - keep)
+            self.advanced_at = self.simulation.now
+
+    def schedule_next_progress(self):
+        """Schedule the moment at which the next run reaches its call or its end."""
         self.version += 1
         self.rate = self.speed()
         if self.runs:
-            least = min(run.left for run in self.runs.values())
-            self.world.at(self.world.now + max(0.0, least) / self.rate, self.reached, self.version)
+            least = min(run.work_left for run in self.runs.values())
+            self.simulation.at(
+                self.simulation.now + max(0.0, least) / self.rate, self.progress_due, self.version
+            )
 
-    def reached(self, version):
+    def progress_due(self, version):
+        """Process the runs that have come to their call or end; a superseded schedule does nothing."""
         if version != self.version or not self.up:
             return
-        self.move()
+        self.advance_runs()
         events = []
         for number, run in list(self.runs.items()):
-            if run.left <= 1e-9:
+            if run.work_left <= 1e-9:
                 del self.runs[number]
-                events += self.run_reached(number, run)
+                events += self.run_progressed(number, run)
         self.decide(events)
 
-    def run_reached(self, number, run):
-        """What the module is told of a run that has come to its call or its end."""
-        if run.after is not None:
-            run.left, run.after = run.after, None
+    def run_progressed(self, number, run):
+        """Return the events for the controller when a run has come to its call or its end."""
+        if run.work_after_call is not None:
+            run.work_left, run.work_after_call = run.work_after_call, None
             self.calls[number] = run
             return [interface.CallRequested(number)]
-        return [self.over(number, run)]
+        return [self.complete_run(number, run)]
 
-    def over(self, number, run):
-        sub = self.subs.pop(number)
-        self.world.answered(self, sub, "delivered")
+    def complete_run(self, number, run):
+        """End a run with its result and return the event for the controller."""
+        submission = self.submissions.pop(number)
+        self.simulation.record_answer(self, submission, "delivered")
         return interface.Ended(number, interface.Outcome.DONE, 0.0)
 
-    # ---- the module
+    # ---- the admission controller
 
     def decide(self, events):
-        now = self.world.now
-        self.move()
+        """Pass events to the controller and carry out the actions that it returns."""
+        now = self.simulation.now
+        self.advance_runs()
         if self.reducing:
             for e in events:
                 if isinstance(e, interface.CallEnded):
                     self.reducing.call_ended(now, e.outcome, e.duration)
         later = []
-        for action in self.rules.decide(now, events):
-            act = self.DOES.get(type(action))
-            if act is not None:
-                more = act(self, action)
-                later += [more] if more is not None else []
-        self.plan()
+        for action in self.controller.decide(now, events):
+            handler = self.ACTION_HANDLERS.get(type(action))
+            if handler is not None:
+                event = handler(self, action)
+                later += [event] if event is not None else []
+        self.schedule_next_progress()
         if later:
-            self.world.at(now, self.told, later)
+            self.simulation.at(now, self.deliver_events, later)
 
-    def told(self, events):
+    def deliver_events(self, events):
+        """Pass on the events that actions caused, unless the server has crashed since."""
         if self.up:
             self.decide(events)
 
-    def arrive(self, sub):
-        self.numbers += 1
-        world = self.world
-        self.subs[self.numbers] = sub
+    def arrive(self, submission):
+        """Receive a submission."""
+        self.last_number += 1
+        simulation = self.simulation
+        self.submissions[self.last_number] = submission
         if self.reducing:
-            self.reducing.signals.record_request(world.now, 0.0)
-        hint = sub.work * math.exp(0.3 * (world.random_source.random() - 0.5))
+            self.reducing.signals.record_request(simulation.now, 0.0)
+        hint = submission.work * math.exp(0.3 * (simulation.random_source.random() - 0.5))
         self.decide(
             [
                 interface.Arrived(
-                    id=self.numbers,
-                    workload=sub.workload,
-                    tenant=sub.tenant,
-                    time_left=max(0.0, sub.due - world.now),
-                    rank=world.random_source.random(),
+                    id=self.last_number,
+                    workload=submission.workload,
+                    tenant=submission.tenant,
+                    time_left=max(0.0, submission.deadline - simulation.now),
+                    rank=simulation.random_source.random(),
                     memory=8.0,
                     cost_hint=hint,
                     caller=1,
@@ -219,226 +256,255 @@
         )
 
     def wake(self):
+        """Fire the periodic timer with current gauges, and schedule the next one."""
         if not self.up:
             return
-        now, events = self.world.now, []
-        self.move()
-        gauges = interface.Gauges(self.busy, len(self.runs), 8.0 * len(self.subs), 10)
+        now, events = self.simulation.now, []
+        self.advance_runs()
+        gauges = interface.Gauges(self.busy, len(self.runs), 8.0 * len(self.submissions), 10)
         if self.reducing:
             self.reducing.gauged(now, gauges)
             events = self.reducing.sweep(
-                now, self.cold and now - self.born < self.world.scene.settings.warm_up_time
+                now, self.cold and now - self.started_at < self.simulation.scenario.settings.warm_up_time
             )
-            rank = self.reducing.decision.active_level()
-            self.world.totals.by_second[int(now)][2] += (
-                (rank.rank if rank else 0) * SWEEP / self.world.scene.servers
+            level = self.reducing.decision.active_level()
+            self.simulation.totals.by_second[int(now)][2] += (
+                (level.rank if level else 0) * SWEEP_INTERVAL_S / self.simulation.scenario.servers
             )
         self.decide([*events, interface.TimerFired(0, gauges)])
-        self.world.at(now + SWEEP, self.wake)
-
-    def do_start(self, a):
-        sub = self.subs[a.id]
-        sub.started = True
-        calls = self.world.scene.mix[sub.workload].calls
-        self.runs[a.id] = Run(sub, sub.work / 2 if calls else sub.work, sub.work / 2 if calls else None)
-
-    def do_halt(self, a):
-        if self.runs.pop(a.id, None) is not None or self.calls.pop(a.id, None) is not None:
-            self.subs.pop(a.id, None)
-            return interface.Ended(a.id, interface.Outcome.CANCELLED, 0.0)
-
-    def do_turn_back(self, a):
-        sub = self.subs.pop(a.id)
-        if sub.started:
-            self.world.totals.refused_after_start += 1
-            self.runs.pop(a.id, None)
-            self.calls.pop(a.id, None)
+        self.simulation.at(now + SWEEP_INTERVAL_S, self.wake)
+
+    def do_start(self, action):
+        """Start a run: one half before its call and one half after it, if it makes one."""
+        submission = self.submissions[action.id]
+        submission.started = True
+        calls = self.simulation.scenario.mix[submission.workload].calls
+        self.runs[action.id] = Run(
+            submission,
+            submission.work / 2 if calls else submission.work,
+            submission.work / 2 if calls else None,
+        )
+
+    def do_interrupt(self, action):
+        """Cancel a run, on the cores or at its call."""
+        if self.runs.pop(action.id, None) is not None or self.calls.pop(action.id, None) is not None:
+            self.submissions.pop(action.id, None)
+            return interface.Ended(action.id, interface.Outcome.CANCELLED, 0.0)
+
+    def do_reject(self, action):
+        """Reject a submission; a rejection after the start is counted as a violation."""
+        submission = self.submissions.pop(action.id)
+        if submission.started:
+            self.simulation.totals.rejected_after_start += 1
+            self.runs.pop(action.id, None)
+            self.calls.pop(action.id, None)
         if self.reducing:
-            self.reducing.signals.record_rejection(self.world.now)
-        self.world.turned_back(self, sub, a)
-
-    def do_write_off(self, a):
-        sub = self.subs.get(a.id)
-        if sub is not None:
-            self.world.answered(self, sub, "written off")
-            if a.id in self.calls:  # the run ends at its call
-                del self.calls[a.id], self.subs[a.id]
-                return interface.Ended(a.id, interface.Outcome.CANCELLED, 0.0)
-            if a.id not in self.runs:
-                del self.subs[a.id]
-
-    def do_call(self, a):
-        world, run = self.world, self.calls[a.id]
-        run.state += 1
-        took, failed = world.call()
-        lasts = min(took, a.timeout)
+            self.reducing.signals.record_rejection(self.simulation.now)
+        self.simulation.handle_rejection(self, submission, action)
+
+    def do_fail(self, action):
+        """Answer a submission as failed; its run on the cores continues."""
+        submission = self.submissions.get(action.id)
+        if submission is not None:
+            self.simulation.record_answer(self, submission, "written off")
+            if action.id in self.calls:  # a failed run is cancelled at its call
+                del self.calls[action.id], self.submissions[action.id]
+                return interface.Ended(action.id, interface.Outcome.CANCELLED, 0.0)
+            if action.id not in self.runs:
+                del self.submissions[action.id]
+
+    def do_call(self, action):
+        """Make a run's call on the dependency."""
+        simulation, run = self.simulation, self.calls[action.id]
+        run.call_generation += 1
+        duration, failed = simulation.call()
+        elapsed = min(duration, action.timeout)
         outcome = (
             interface.Outcome.TIMED_OUT
-            if took > a.timeout
+            if duration > action.timeout
             else interface.Outcome.ERROR
             if failed
             else interface.Outcome.DONE
         )
-        world.calls_out += 1
-        world.at(world.now + lasts, self.call_over, a.id, run, run.state, outcome, lasts)
+        simulation.calls_out += 1
+        simulation.at(
+            simulation.now + elapsed, self.finish_call, action.id, run, run.call_generation, outcome, elapsed
+        )
 
-    def call_over(self, number, run, state, outcome, took):
-        self.world.calls_out -= 1
-        if not self.up or self.calls.get(number) is not run or run.state != state:
+    def finish_call(self, number, run, generation, outcome, duration):
+        """End a call; the run goes on only if the call was done and is still its latest."""
+        self.simulation.calls_out -= 1
+        if not self.up or self.calls.get(number) is not run or run.call_generation != generation:
             return
         if outcome is interface.Outcome.DONE:
             self.runs[number] = self.calls.pop(number)
-        self.decide([interface.CallEnded(number, outcome, took)])
+        self.decide([interface.CallEnded(number, outcome, duration)])
 
-    def do_go_without(self, a):
-        run = self.calls.pop(a.id)
-        run.sub.slim = True
-        self.runs[a.id] = run
+    def do_bypass_call(self, action):
+        """Continue a run without its call, with a degraded result."""
+        run = self.calls.pop(action.id)
+        run.submission.degraded = True
+        self.runs[action.id] = run
 
-    DOES = {
+    ACTION_HANDLERS = {
         interface.Start: do_start,
-        interface.Interrupt: do_halt,
-        interface.Reject: do_turn_back,
-        interface.Fail: do_write_off,
+        interface.Interrupt: do_interrupt,
+        interface.Reject: do_reject,
+        interface.Fail: do_fail,
         interface.Call: do_call,
-        interface.BypassCall: do_go_without,
+        interface.BypassCall: do_bypass_call,
     }
 
     def crash(self):
+        """End the process; every open submission fails."""
         self.up = False
-        for sub in {id(sub): sub for sub in self.subs.values()}.values():
-            self.world.answered(self, sub, "written off")
-        self.runs, self.calls, self.subs = {}, {}, {}
+        for submission in {id(submission): submission for submission in self.submissions.values()}.values():
+            self.simulation.record_answer(self, submission, "written off")
+        self.runs, self.calls, self.submissions = {}, {}, {}
+
 
+class Simulation:
+    """The servers, callers and dependency of a scenario, driven by a heap of timed events."""
 
-class World:
-    def __init__(self, scene, seed):
-        self.scene, self.random_source, self.now, self.heap, self.sequence = (
-            scene,
+    def __init__(self, scenario, seed):
+        self.scenario, self.random_source, self.now, self.event_heap, self.last_sequence = (
+            scenario,
             SeededRandom(seed),
             0.0,
             [],
             0,
         )
-        self.totals, self.calls_out = Totals(scene), 0
+        self.totals, self.calls_out = Totals(scenario), 0
         for _ in range(8):
-            self.random_source.random()  # seeds side by side begin alike
-        self.demand = (
-            self.random_source
-        )  # for what callers want; a stream of its own is the same for any policy
-        self.servers = [self.make_server(n, seed * 1000 + n) for n in range(scene.servers)]
-        self.lists = [(0.0, list(self.servers))]  # (from when, those on callers' lists)
+            self.random_source.random()  # the first draws of neighbouring seeds are alike
+        # FleetSimulation gives demand a stream of its own, so that it is equal under any policy.
+        self.demand = self.random_source
+        self.servers = [self.make_server(number, seed * 1000 + number) for number in range(scenario.servers)]
+        self.lists = [(0.0, list(self.servers))]  # (valid from, servers on the callers' lists)
         for server in self.servers:
-            self.at(SWEEP * self.random_source.random(), server.wake)
-        for t, share, down, cold in scene.crashes:
-            self.at(t, self.crash, share, down, cold)
+            self.at(SWEEP_INTERVAL_S * self.random_source.random(), server.wake)
+        for at, share, down_time, cold in scenario.crashes:
+            self.at(at, self.crash, share, down_time, cold)
         self.at(0.0, self.next_arrival)
 
-    def make_server(self, n, seed):
-        return Server(self, n, False, seed)
+    def make_server(self, number, seed):
+        """Return a new server; overridden for other kinds of servers."""
+        return Server(self, number, False, seed)
 
-    def make_rules(self, settings, seed, now):
+    def make_controller(self, settings, seed, now):
+        """Return the admission controller of a server process."""
         return AdmissionController(settings, seed, now)
 
     def at(self, when, action, *args):
-        self.sequence += 1
-        heapq.heappush(self.heap, (when, self.sequence, action, args))
+        """Schedule action(*args) at the virtual time `when`."""
+        self.last_sequence += 1
+        heapq.heappush(self.event_heap, (when, self.last_sequence, action, args))
 
     def run(self):
-        """Plays the scene, and a while more so that all is answered. Returns the totals."""
-        end = self.scene.seconds + 30.0
-        while self.heap and self.heap[0][0] <= end:
-            self.now, _, action, args = heapq.heappop(self.heap)
+        """Run the scenario, and 30 seconds more so that everything is answered. Return the totals."""
+        end = self.scenario.seconds + 30.0
+        while self.event_heap and self.event_heap[0][0] <= end:
+            self.now, _, action, args = heapq.heappop(self.event_heap)
             action(*args)
         return self.totals
 
     # ---- callers
 
     def next_arrival(self):
-        rate = self.scene.load(self.now)
+        """Submit once and schedule the next arrival, exponentially distributed."""
+        rate = self.scenario.load(self.now)
         if rate > 0:
             self.submit()
-        if self.now < self.scene.seconds:
+        if self.now < self.scenario.seconds:
             self.at(self.now - math.log(1 - self.demand.random()) / max(1e-3, rate), self.next_arrival)
 
     def submit(self):
+        """Draw a submission and send it."""
         draw, workload = self.random_source.random(), 0
-        for workload, mix in enumerate(self.scene.mix):
+        for workload, mix in enumerate(self.scenario.mix):
             draw -= mix.share
             if draw < 0:
                 break
-        w, mix = self.scene.settings.workloads[workload], self.scene.mix[workload]
+        workload_settings, mix = self.scenario.settings.workloads[workload], self.scenario.mix[workload]
         work = mix.work * -math.log(1 - self.random_source.random()) * 0.5 + mix.work * 0.5
-        tenants = len(self.scene.settings.tenants)
+        tenants = len(self.scenario.settings.tenants)
         tenant = int(self.random_source.random() * tenants) if tenants else None
-        sub = Submission(self.now, workload, work, self.now + w.timeout, tenant)
+        submission = Submission(self.now, workload, work, self.now + workload_settings.timeout, tenant)
         self.totals.sent[workload] += 1
-        self.totals.all_worth += w.value
-        self.totals.by_second[int(self.now)][0] += w.value
-        self.send(sub)
+        self.totals.offered_value += workload_settings.value
+        self.totals.by_second[int(self.now)][0] += workload_settings.value
+        self.send(submission)
 
-    def send(self, sub):
+    def send(self, submission):
+        """Send a submission to a random server of the current list."""
         while len(self.lists) > 1 and self.lists[1][0] <= self.now:
             self.lists.pop(0)
         listed = self.lists[0][1]
         server = listed[int(self.random_source.random() * len(listed))] if listed else None
-        sub.tries += 1
+        submission.attempts += 1
         if server is None or not server.up:
-            self.turned_back(server, sub)
+            self.handle_rejection(server, submission)
         else:
-            server.arrive(sub)
+            server.arrive(submission)
 
-    def turned_back(self, server, sub, action=None):
-        wait = max(BACK_OFF, action.retry_after if action else 0.0) * (
+    def handle_rejection(self, server, submission, action=None):
+        """Retry a rejected submission after a jittered wait, or count it as rejected."""
+        wait = max(BACKOFF_S, action.retry_after if action else 0.0) * (
             0.75 + 0.5 * self.random_source.random()
         )
-        if sub.tries < TRIES and self.now + wait < sub.due:
-            self.at(self.now + wait, self.send, sub)
+        if submission.attempts < MAX_ATTEMPTS and self.now + wait < submission.deadline:
+            self.at(self.now + wait, self.send, submission)
             return
-        self.totals.turned_back += 1
-        self.totals.by_second[int(min(self.now, self.scene.seconds + 59))][3] += 1
+        self.totals.rejected += 1
+        self.totals.by_second[int(min(self.now, self.scenario.seconds + 59))][3] += 1
 
-    def answered(self, server, sub, how):
-        if sub.done is not None:
+    def record_answer(self, server, submission, answer):
+        """Count the first answer to a submission and the value it earned."""
+        if submission.outcome is not None:
             return
-        sub.done = how
-        if how != "delivered":
-            self.totals.written_off += 1
+        submission.outcome = answer
+        if answer != "delivered":
+            self.totals.failed += 1
             return
-        w = self.scene.settings.workloads[sub.workload]
-        late = self.now > sub.born + w.latency_objective
-        self.totals.delivered[sub.workload] += 1
-        self.totals.late[sub.workload] += late
-        self.totals.slim[sub.workload] += sub.slim
-        worth = (
-            w.value * (w.late_value_share if late else 1.0) * (w.degraded_value_share if sub.slim else 1.0)
+        workload_settings = self.scenario.settings.workloads[submission.workload]
+        late = self.now > submission.created_at + workload_settings.latency_objective
+        self.totals.delivered[submission.workload] += 1
+        self.totals.late[submission.workload] += late
+        self.totals.degraded[submission.workload] += submission.degraded
+        earned_value = (
+            workload_settings.value
+            * (workload_settings.late_value_share if late else 1.0)
+            * (workload_settings.degraded_value_share if submission.degraded else 1.0)
         )
-        if self.now <= sub.due:
-            self.totals.worth += worth
-            self.totals.by_second[int(sub.born)][1] += worth
+        if self.now <= submission.deadline:
+            self.totals.earned_value += earned_value
+            self.totals.by_second[int(submission.created_at)][1] += earned_value
 
-    # ---- the shared dependency, and losses
+    # ---- the shared dependency, and crashes
 
     def call(self):
-        """(seconds that a call made now takes, whether it fails)"""
-        scene = self.scene
-        if self.random_source.random() < scene.failing(self.now):
-            return FASTEST * self.random_source.random(), True
-        crowd = min(0.97, self.calls_out / scene.call_room)
-        mean = scene.call_time * scene.slow(self.now) / (1 - crowd)
+        """Return the seconds that a call made now takes, and whether it fails."""
+        scenario = self.scenario
+        if self.random_source.random() < scenario.failing(self.now):
+            return MAX_FAILURE_TIME_S * self.random_source.random(), True
+        utilization = min(0.97, self.calls_out / scenario.call_capacity)
+        mean = scenario.call_time * scenario.slowdown(self.now) / (1 - utilization)
         return mean * (0.5 - 0.5 * math.log(1 - self.random_source.random())), False
 
-    def crash(self, share, down, cold):
+    def crash(self, share, down_time, cold):
+        """Crash a share of the servers; they return after `down_time` seconds."""
         up = [server for server in self.servers if server.up]
         for server in up[: int(share * len(self.servers) + 0.5)]:
             server.crash()
-            self.at(self.now + down, self.back, server, cold)
-        self.listed()
+            self.at(self.now + down_time, self.restore_server, server, cold)
+        self.update_lists()
 
-    def back(self, server, cold):
+    def restore_server(self, server, cold):
+        """Start a crashed server again."""
         server.start(cold)
         server.wake()
-        self.listed()
+        self.update_lists()
 
-    def listed(self):
-        self.lists.append((self.now + LAG, [server for server in self.servers if server.up]))
+    def update_lists(self):
+        """Let the callers' lists show the servers that are up, after the lag."""
+        self.lists.append((self.now + LIST_LAG_S, [server for server in self.servers if server.up]))
--- a/valeturn/lab/fleet_scenarios/__init__.py
+++ b/valeturn/lab/fleet_scenarios/__init__.py
@@ -1,5 +1,7 @@
-"""Whole fleets in virtual time: servers in zones, gateways whose lists lag, releases, zones lost and cut.
+"""Simulations of whole fleets in virtual time: zones, lagging server lists, releases, outages and
+partitions.
 
-`days` draws a day from its seed, `world` plays it, `servers` and `gateways` are its parties, `witness` counts
-what the rules forbid from what was done alone, `plainer` has the policies that the module is held against.
+`days` draws a scenario day from its seed, and `simulation` plays it with the servers of `servers` and the
+gateways of `gateways`. `history_checker` counts violations of the guarantees from the recorded actions alone,
+and `baselines` has the policies that the admission controller is compared with.
 """
--- a/valeturn/lab/fleet_scenarios/baselines.py
+++ b/valeturn/lab/fleet_scenarios/baselines.py
@@ -1,4 +1,4 @@
-"""Plainer policies with the module's way to be called, to hold it against."""
+"""Baseline policies with the interface of the admission controller, for comparison on the same demand."""
 
 from __future__ import annotations
 
@@ -7,69 +7,99 @@
 
 from ...admission import interface
 
-RUNS, WAITING = 2, 4  # a core: a plain pool with a short queue
-SWEEP = 0.1  # s, as often as the module looks
-LAST = 0.3  # s before a due time at which what waits is given up
+RUNS_PER_CORE, QUEUE_PER_CORE = 2, 4  # a plain worker pool with a short queue
+SWEEP_INTERVAL_S = 0.1  # seconds, the controller's own timer interval
+GIVE_UP_BEFORE_DEADLINE_S = 0.3  # seconds before its deadline at which a submission is given up
 
 
 class Pool:
-    """Arrival order, two runs and four waiting a core; calls at once and once; nothing else is known."""
+    """A worker pool: first in, first out, two runs and four queued per core; calls are made at once, once."""
 
     def __init__(self, settings, seed, now):
-        self.s, self.held, self.running, self.leave_at, self.stop_at = settings, {}, {}, None, None
-        self.awake = False
+        self.settings, self.queued, self.running, self.drain_started_at, self.stop_at = (
+            settings,
+            {},
+            {},
+            None,
+            None,
+        )
+        self.timer_set = False
 
     def decide(self, now, events):
-        out = [] if self.awake else [interface.Health(True, True), interface.SetTimer(SWEEP, 0)]
-        self.awake = True
-        for e in events:
-            if isinstance(e, interface.Arrived):
-                self.arrived(now, e, out)
-            elif isinstance(e, interface.Ended):
-                self.running.pop(e.id, None)
-            elif isinstance(e, interface.CallerGone):
-                if self.held.pop(e.id, None) is None and e.id in self.running:
-                    out.append(interface.Interrupt(e.id))
-            elif isinstance(e, interface.CallRequested):
-                out.append(interface.Call(e.id, max(0.05, min(2.0, self.running[e.id][0] - now - LAST))))
+        """Return the actions for these events, as AdmissionController.decide does."""
+        actions = (
+            [] if self.timer_set else [interface.Health(True, True), interface.SetTimer(SWEEP_INTERVAL_S, 0)]
+        )
+        self.timer_set = True
+        for event in events:
+            if isinstance(event, interface.Arrived):
+                self.admit(now, event, actions)
+            elif isinstance(event, interface.Ended):
+                self.running.pop(event.id, None)
+            elif isinstance(event, interface.CallerGone):
+                if self.queued.pop(event.id, None) is None and event.id in self.running:
+                    actions.append(interface.Interrupt(event.id))
+            elif isinstance(event, interface.CallRequested):
+                actions.append(
+                    interface.Call(
+                        event.id,
+                        max(0.05, min(2.0, self.running[event.id][0] - now - GIVE_UP_BEFORE_DEADLINE_S)),
+                    )
+                )
             elif (
-                isinstance(e, interface.CallEnded)
-                and e.outcome is not interface.Outcome.DONE
-                and e.id in self.running
+                isinstance(event, interface.CallEnded)
+                and event.outcome is not interface.Outcome.DONE
+                and event.id in self.running
             ):
-                w = self.s.workloads[self.running[e.id][1]]
-                out.append(interface.BypassCall(e.id) if w.degraded_value_share else interface.Fail(e.id))
-            elif isinstance(e, interface.DrainStarted):
-                self.leave_at, self.stop_at = now, now + e.time_left
-            elif isinstance(e, interface.TimerFired):
-                self.sweep(now, out)
-        while self.held and len(self.running) < RUNS * self.s.cores:
-            first = next(iter(self.held))
-            self.running[first] = self.held.pop(first)
-            out.append(interface.Start(first))
-        return out
+                workload_settings = self.settings.workloads[self.running[event.id][1]]
+                actions.append(
+                    interface.BypassCall(event.id)
+                    if workload_settings.degraded_value_share
+                    else interface.Fail(event.id)
+                )
+            elif isinstance(event, interface.DrainStarted):
+                self.drain_started_at, self.stop_at = now, now + event.time_left
+            elif isinstance(event, interface.TimerFired):
+                self.give_up_late(now, actions)
+        while self.queued and len(self.running) < RUNS_PER_CORE * self.settings.cores:
+            first = next(iter(self.queued))
+            self.running[first] = self.queued.pop(first)
+            actions.append(interface.Start(first))
+        return actions
 
-    def arrived(self, now, e, out):
-        late = self.leave_at is not None and now - e.waited > self.leave_at + self.s.drain_grace - self.s.tick
-        if late or len(self.held) >= WAITING * self.s.cores:
-            out.append(interface.Reject(e.id, 0.0, False))
+    def admit(self, now, event, actions):
+        """Queue a submission, or reject it when the queue is full or the drain grace is over."""
+        late = (
+            self.drain_started_at is not None
+            and now - event.waited > self.drain_started_at + self.settings.drain_grace - self.settings.tick
+        )
+        if late or len(self.queued) >= QUEUE_PER_CORE * self.settings.cores:
+            actions.append(interface.Reject(event.id, 0.0, False))
         else:
-            self.held[e.id] = (now + e.time_left, e.workload)
+            self.queued[event.id] = (now + event.time_left, event.workload)
 
-    def sweep(self, now, out):
-        last, stops = now + LAST, self.stop_at is not None and now + LAST >= self.stop_at
-        for number, (due, _) in list(self.held.items()):
-            if due <= last or stops:
-                del self.held[number]
-                out.append(interface.Reject(number, 0.0, False))
-        for number, (due, workload) in list(self.running.items()):
-            if due <= last or stops:
+    def give_up_late(self, now, actions):
+        """Reject what is queued and fail what runs too close to its deadline or to the stop."""
+        latest_deadline, stops = (
+            now + GIVE_UP_BEFORE_DEADLINE_S,
+            self.stop_at is not None and now + GIVE_UP_BEFORE_DEADLINE_S >= self.stop_at,
+        )
+        for number, (deadline, _) in list(self.queued.items()):
+            if deadline <= latest_deadline or stops:
+                del self.queued[number]
+                actions.append(interface.Reject(number, 0.0, False))
+        for number, (deadline, workload) in list(self.running.items()):
+            if deadline <= latest_deadline or stops:
                 self.running[number] = (float("inf"), workload)
-                out += [interface.Fail(number), interface.Interrupt(number)]
+                actions += [interface.Fail(number), interface.Interrupt(number)]
 
 
-def policy(name):
-    """(a name to print, what makes the rules): `module`, `pool`, or a file that holds an earlier module."""
+def find_policy(name):
+    """Return the policy's name to print and its factory.
+
+    `name` is `module` (the current admission controller), `pool`, or the path of a Python file that defines
+    an earlier AdmissionController.
+    """
     if name == "module":
         from ...admission.controller import AdmissionController
 
--- a/valeturn/lab/fleet_scenarios/gateways.py
+++ b/valeturn/lab/fleet_scenarios/gateways.py
@@ -1,179 +1,214 @@
-"""Gateways: each knows of a server what its list, its own tries and the answers told it, and nothing else."""
+"""Simulated gateways: each knows a server only by its list, its own attempts and the answers to them."""
 
 from __future__ import annotations
 
-from . import history_checker as seen
+from . import history_checker
 from .days import NEVER, zone_of
 
-TRY_SHARE = 0.6  # of the cut-off, after which a try is given up: the platform has 0.34 to 1
-SILENCE = 0.25  # s after which a connection that nobody answers has failed
-TOLD = 0.05  # s until a server hears that a try was given up
-LEVEL_LASTS = 1.0  # s that a free value is kept in mind
-IDLE = 15.0  # s after which an unused connection is closed
-BARRED = 2.0  # s for which a server that could not be reached is passed over
+ATTEMPT_TIMEOUT_SHARE = 0.6  # of the workload's timeout, given to one attempt; the platform has 0.34 to 1
+CONNECT_TIMEOUT_S = 0.25  # seconds after which an unanswered connection attempt fails
+WITHDRAWAL_DELAY_S = 0.05  # seconds until a server learns that an attempt was given up
+LEVEL_LIFETIME_S = 1.0  # seconds for which an advertised level is remembered
+IDLE_TIMEOUT_S = 15.0  # seconds after which an unused connection is closed
+UNREACHABLE_PENALTY_S = 2.0  # seconds for which an unreachable server is skipped
 
 
-class Asked:
-    """What a client wants, through any number of tries."""
+class ClientRequest:
+    """A request of a client, over any number of attempts. Times are in seconds of virtual time."""
 
     __slots__ = (
-        "begun",
-        "born",
-        "due",
-        "earned",
+        "runs_started",
+        "created_at",
+        "deadline",
+        "value_earned",
         "hint",
-        "once",
+        "unrepeatable",
         "rank",
         "subject",
         "tenant",
-        "tried",
+        "tried_servers",
         "work",
         "workload",
     )
 
-    def __init__(self, born, workload, work, hint, rank, tenant, subject, due, once):
-        self.born, self.workload, self.work, self.hint = born, workload, work, hint
-        self.rank, self.tenant, self.subject, self.due, self.once = rank, tenant, subject, due, once
-        self.begun, self.earned, self.tried = 0, None, []
+    def __init__(self, created_at, workload, work, hint, rank, tenant, subject, deadline, unrepeatable):
+        self.created_at, self.workload, self.work, self.hint = created_at, workload, work, hint
+        self.rank, self.tenant, self.subject, self.deadline, self.unrepeatable = (
+            rank,
+            tenant,
+            subject,
+            deadline,
+            unrepeatable,
+        )
+        self.runs_started, self.value_earned, self.tried_servers = 0, None, []
 
 
-class Try:
-    """One of them at one server. What an emulated server asks of a submission is here too."""
+class Attempt:
+    """One attempt of a request at one server, with the fields that a Server reads of a Submission."""
 
     __slots__ = (
         "answers",
-        "asked",
-        "born",
-        "due",
+        "request",
+        "created_at",
+        "deadline",
         "gateway",
-        "life",
-        "over",
+        "incarnation",
+        "closed",
         "reached_at",
         "read_at",
         "server",
-        "slim",
+        "degraded",
         "started",
-        "taken_back",
+        "withdrawn",
         "tenant",
-        "tries",
+        "attempts",
         "work",
         "workload",
     )
 
-    def __init__(self, asked, gateway, server, now, until):
-        self.asked, self.gateway, self.server, self.born, self.due = asked, gateway, server, now, until
-        self.work, self.workload, self.tenant = asked.work, asked.workload, asked.tenant
-        self.answers, self.over, self.taken_back, self.started, self.slim = 0, False, False, False, False
-        self.reached_at, self.read_at, self.life, self.tries = None, None, None, 1
+    def __init__(self, request, gateway, server, now, until):
+        self.request, self.gateway, self.server, self.created_at, self.deadline = (
+            request,
+            gateway,
+            server,
+            now,
+            until,
+        )
+        self.work, self.workload, self.tenant = request.work, request.workload, request.tenant
+        self.answers, self.closed, self.withdrawn, self.started, self.degraded = 0, False, False, False, False
+        self.reached_at, self.read_at, self.incarnation, self.attempts = None, None, None, 1
 
 
 class Gateway:
-    def __init__(self, world, number, heeds, hashes):
-        self.world, self.number, self.heeds, self.hashes = world, number, heeds, hashes
-        self.zone = zone_of(number, world.day.zones)
-        self.listed = dict.fromkeys(range(len(world.servers)), True)  # as far as it heard
+    """Routes client requests to servers and retries them elsewhere."""
+
+    def __init__(self, simulation, number, follows_advice, hashes_subject):
+        self.simulation, self.number, self.follows_advice, self.hashes_subject = (
+            simulation,
+            number,
+            follows_advice,
+            hashes_subject,
+        )
+        self.zone = zone_of(number, simulation.day.zones)
+        self.listed = dict.fromkeys(range(len(simulation.servers)), True)  # as far as it has learned
         self.forget()
 
     def forget(self):
-        """As after a start."""
-        self.names = [n for n, there in self.listed.items() if there]
-        self.turn = int(self.world.random_source.random() * max(1, len(self.names)))
-        self.away, self.levels, self.barred = {}, {}, {}  # server -> until when; (value, until); until
-        self.connected = {}  # server -> (life, last used)
-
-    def hear(self, server, there):
-        """A change of the list has come through."""
-        if self.listed.get(server) != there:
-            self.listed[server] = there
-            self.names = [n for n, there in self.listed.items() if there]
+        """Drop all knowledge of servers and all connections, as at a restart."""
+        self.names = [name for name, present in self.listed.items() if present]
+        self.next_index = int(self.simulation.random_source.random() * max(1, len(self.names)))
+        # By server: time; (level, time until which it holds); time.
+        self.rejected_until, self.levels, self.unreachable_until = {}, {}, {}
+        self.connected = {}  # by server: (incarnation, last used)
+
+    def on_list_change(self, server, present):
+        """Process a change of the server list."""
+        if self.listed.get(server) != present:
+            self.listed[server] = present
+            self.names = [name for name, present in self.listed.items() if present]
 
     # ---- choosing
 
-    def choose(self, asked):
-        """The next one by its habit that nothing speaks against, or None."""
-        names, now = self.names, self.world.now
+    def choose(self, request):
+        """Return the next usable server in this gateway's order, or None."""
+        names, now = self.names, self.simulation.now
         if not names:
             return None
-        if self.hashes:
-            first = asked.subject * 2654435761 % len(names)
+        if self.hashes_subject:
+            first = request.subject * 2654435761 % len(names)
         else:
-            self.turn = first = (self.turn + 1) % len(names)
+            self.next_index = first = (self.next_index + 1) % len(names)
         for step in range(len(names)):
             name = names[(first + step) % len(names)]
-            if name in asked.tried or self.barred.get(name, 0.0) > now:
+            if name in request.tried_servers or self.unreachable_until.get(name, 0.0) > now:
                 continue
-            if self.heeds:
-                if self.away.get(name, 0.0) > now:
+            if self.follows_advice:
+                if self.rejected_until.get(name, 0.0) > now:
                     continue
                 value, until = self.levels.get(name, (0.0, 0.0))
-                if until > now and asked.rank < value:
+                if until > now and request.rank < value:
                     continue
-            return self.world.servers[name]
+            return self.simulation.servers[name]
         return None
 
-    def send(self, asked):
-        world, now = self.world, self.world.now
-        server = self.choose(asked) if now < asked.due else None
+    def send(self, request):
+        """Send a request to a server that it has not tried, or give it up."""
+        simulation, now = self.simulation, self.simulation.now
+        server = self.choose(request) if now < request.deadline else None
         if server is None:
-            world.unserved(asked, "nowhere" if now < asked.due else "no time")
+            simulation.record_unserved(request, "nowhere" if now < request.deadline else "no time")
             return
-        asked.tried.append(server.name)
-        w = world.scene.settings.workloads[asked.workload]
-        attempt = Try(asked, self, server, now, min(asked.due, now + TRY_SHARE * w.timeout))
-        life, used = self.connected.get(server.name, (None, -NEVER))
-        fresh = life != server.life or now - used > IDLE
-        if world.cut(self, server):
-            world.at(now + SILENCE if fresh else attempt.due, self.unreached, attempt)
+        request.tried_servers.append(server.name)
+        workload_settings = simulation.scenario.settings.workloads[request.workload]
+        attempt = Attempt(
+            request,
+            self,
+            server,
+            now,
+            min(request.deadline, now + ATTEMPT_TIMEOUT_SHARE * workload_settings.timeout),
+        )
+        incarnation, last_used = self.connected.get(server.name, (None, -NEVER))
+        new_connection = incarnation != server.incarnation or now - last_used > IDLE_TIMEOUT_S
+        if simulation.is_cut_off(self, server):
+            simulation.at(
+                now + CONNECT_TIMEOUT_S if new_connection else attempt.deadline, self.unreached, attempt
+            )
         else:
-            self.connected[server.name] = server.life, now
-            world.at(now + world.NET, server.offered, attempt, fresh)
+            self.connected[server.name] = server.incarnation, now
+            simulation.at(now + simulation.NETWORK_DELAY_S, server.receive, attempt, new_connection)
 
-    # ---- what comes back
+    # ---- answers and failures
 
     def unreached(self, attempt):
-        """No connection, or silence: nothing was read there."""
-        if not attempt.over:
-            attempt.over = True
-            self.barred[attempt.server.name] = self.world.now + BARRED
-            self.send(attempt.asked)
-
-    def told(self, attempt, how, action=None):
-        """An answer; it is lost with the way where the two are cut apart."""
-        world, server, now = self.world, attempt.server, self.world.now
-        if attempt.over or world.cut(self, server):
+        """No connection or no reply: the server has read nothing, so try another one."""
+        if not attempt.closed:
+            attempt.closed = True
+            self.unreachable_until[attempt.server.name] = self.simulation.now + UNREACHABLE_PENALTY_S
+            self.send(attempt.request)
+
+    def on_answer(self, attempt, answer, action=None):
+        """Process an answer; it is lost if the gateway and the server are partitioned."""
+        simulation, server, now = self.simulation, attempt.server, self.simulation.now
+        if attempt.closed or simulation.is_cut_off(self, server):
             return
-        attempt.over = True
+        attempt.closed = True
         if server.level is not None:
-            self.levels[server.name] = (server.level, now + LEVEL_LASTS)
-        if how == seen.DELIVERED:
-            world.earned(attempt)
-        elif how == seen.WRITTEN_OFF:
-            world.unserved(attempt.asked, "written off")
+            self.levels[server.name] = (server.level, now + LEVEL_LIFETIME_S)
+        if answer == history_checker.DELIVERED:
+            simulation.record_delivery(attempt)
+        elif answer == history_checker.FAILED:
+            simulation.record_unserved(attempt.request, "written off")
         else:
-            if self.heeds and action is not None:
-                self.away[server.name] = now + action.retry_after
+            if self.follows_advice and action is not None:
+                self.rejected_until[server.name] = now + action.retry_after
                 if action.final:
-                    world.unserved(attempt.asked, "turned back")
+                    simulation.record_unserved(attempt.request, "turned back")
                     return
-            self.send(attempt.asked)
+            self.send(attempt.request)
 
-    def broken(self, attempt):
-        """Its server ended with it open: what must not run twice is not asked for again."""
-        if not attempt.over:
-            attempt.over = True
-            self.again(attempt, "broken")
+    def on_connection_broken(self, attempt):
+        """The server ended with the attempt open; an unrepeatable request that was read is not retried."""
+        if not attempt.closed:
+            attempt.closed = True
+            self.retry_if_safe(attempt, "broken")
 
     def timed_out(self, attempt):
-        if attempt.over:
+        """Give up an attempt at its deadline, withdraw it at the server, and retry."""
+        if attempt.closed:
             return
-        attempt.over = True
+        attempt.closed = True
         server = attempt.server
-        if attempt.read_at is not None and attempt.life == server.life and not self.world.cut(self, server):
-            self.world.at(self.world.now + TOLD, server.taken_back, attempt)
-        self.again(attempt, "timed out")
-
-    def again(self, attempt, why):
-        if attempt.asked.once and attempt.read_at is not None:
-            self.world.unserved(attempt.asked, why)
+        if (
+            attempt.read_at is not None
+            and attempt.incarnation == server.incarnation
+            and not self.simulation.is_cut_off(self, server)
+        ):
+            self.simulation.at(self.simulation.now + WITHDRAWAL_DELAY_S, server.withdraw, attempt)
+        self.retry_if_safe(attempt, "timed out")
+
+    def retry_if_safe(self, attempt, reason):
+        """Retry, unless the request is unrepeatable and may have run."""
+        if attempt.request.unrepeatable and attempt.read_at is not None:
+            self.simulation.record_unserved(attempt.request, reason)
         else:
-            self.send(attempt.asked)
+            self.send(attempt.request)
--- a/valeturn/lab/fleet_scenarios/history_checker.py
+++ b/valeturn/lab/fleet_scenarios/history_checker.py
@@ -1,59 +1,76 @@
-"""Counts what the four rules forbid, from what was done alone: it asks neither module nor server."""
+"""Counts violations of the four guarantees from recorded actions alone, independent of controller and server.
+
+No submission may be left unanswered, executed twice against its effect, answered twice, or started after the
+drain grace; and no server may collapse under its concurrency.
+"""
 
 from __future__ import annotations
 
-SLACK = 0.1  # s over a due time, as the settings state and the protocol adds
-DELIVERED, TURNED_BACK, WRITTEN_OFF = "delivered", "turned back", "written off"
+DEADLINE_SLACK_S = 0.1  # seconds past a deadline: the settings' answer_slack, which the protocol adds
+DELIVERED, REJECTED, FAILED = "delivered", "turned back", "written off"
+
 
+class HistoryChecker:
+    """Counts answers and violations over one simulated day."""
 
-class Witness:
     def __init__(self):
-        self.lost = self.twice = self.answered_twice = self.late_in_drain = self.back_after_run = 0
-        self.fell = 0
-        self.answers = {DELIVERED: 0, TURNED_BACK: 0, WRITTEN_OFF: 0}
+        self.lost = self.repeated_runs = self.answered_twice = self.started_after_grace = (
+            self.rejected_after_start
+        ) = 0
+        self.collapses = 0
+        self.answers = {DELIVERED: 0, REJECTED: 0, FAILED: 0}
 
-    def answered(self, attempt, how):
+    def record_answer(self, attempt, answer):
+        """Record an answer to an attempt; `answer` is one of the three constants above."""
         attempt.answers += 1
-        self.answers[how] += 1
+        self.answers[answer] += 1
         self.answered_twice += attempt.answers > 1
-        self.back_after_run += how == TURNED_BACK and attempt.started and attempt.asked.once
+        self.rejected_after_start += answer == REJECTED and attempt.started and attempt.request.unrepeatable
 
-    def began(self, attempt, server, now):
+    def record_start(self, attempt, server, now):
+        """Record that a server started an execution."""
         attempt.started = True
-        attempt.asked.begun += 1
-        self.twice += attempt.asked.once and attempt.asked.begun > 1
-        self.late_in_drain += server.grace_over is not None and attempt.reached_at > server.grace_over
+        attempt.request.runs_started += 1
+        self.repeated_runs += attempt.request.unrepeatable and attempt.request.runs_started > 1
+        self.started_after_grace += (
+            server.grace_ends_at is not None and attempt.reached_at > server.grace_ends_at
+        )
+
+    def check_deadline(self, attempt):
+        """Count an attempt as lost if its deadline and slack have passed without an answer.
 
-    def due(self, attempt):
-        """Its time is up, slack and all: it was read by a server that lives, nobody took it back, and the
-        caller could have been told."""
+        It counts only if a server process that is still alive had read it and it was not withdrawn.
+        """
         if (
             attempt.read_at is not None
             and not attempt.answers
-            and not attempt.taken_back
-            and (attempt.life == attempt.server.life and attempt.server.up)
+            and not attempt.withdrawn
+            and (attempt.incarnation == attempt.server.incarnation and attempt.server.up)
         ):
             self.lost += 1
 
-    def stopped(self, open_ones):
-        """A server ended by itself with these still owed an answer."""
+    def record_stop(self, open_attempts):
+        """Count the attempts that a server left unanswered when it stopped after its drain."""
         self.lost += sum(
-            one.read_at is not None and not one.answers and not one.taken_back for one in open_ones
+            attempt.read_at is not None and not attempt.answers and not attempt.withdrawn
+            for attempt in open_attempts
         )
 
-    def broken(self):
+    def violation_count(self):
+        """Return the number of violations of any kind."""
         return (
             self.lost
-            + self.twice
+            + self.repeated_runs
             + self.answered_twice
-            + self.late_in_drain
-            + self.back_after_run
-            + self.fell
+            + self.started_after_grace
+            + self.rejected_after_start
+            + self.collapses
         )
 
-    def line(self):
+    def summary(self):
+        """Return the violations as one line of key=value fields."""
         return (
-            f"lost={self.lost} twice={self.twice} answered_twice={self.answered_twice} "
-            f"turned_back_once_run={self.back_after_run} run_after_grace={self.late_in_drain} "
-            f"fell={self.fell}"
+            f"lost={self.lost} twice={self.repeated_runs} answered_twice={self.answered_twice} "
+            f"turned_back_once_run={self.rejected_after_start} run_after_grace={self.started_after_grace} "
+            f"fell={self.collapses}"
         )
--- a/valeturn/lab/shares.py
+++ b/valeturn/lab/shares.py
@@ -1,7 +1,7 @@
-"""`lab shares`: the split of the calls, by chance over long times and by all orders up to small bounds.
+"""`lab shares`: checks the call quotas, with random schedules over long times and by exhaustive search.
 
-Both drive the real decisions of both sides; the witness adds up what all servers may use, at every moment,
-those that are not there too.
+Both drive the real quota client and allocator. At every moment the quotas that all servers may use, counting
+the guaranteed quotas of absent servers, must add up to at most the cap.
 """
 
 from __future__ import annotations
@@ -16,151 +16,193 @@
 from .model_checker import search
 from .virtual import Timeline
 
-LASTS = 2.0  # s of a grant
-ROUND = 0.5
-CAP = 60.0
-TOLERANCE = 1e-6
+GRANT_DURATION_S = 2.0  # seconds for which a grant is valid
+REQUEST_INTERVAL_S = 0.5  # mean seconds between the requests of a server
+CAP = 60.0  # concurrent calls of the whole fleet
+TOLERANCE = 1e-6  # of the sum, for rounding errors
 
 
-class Over(Exception):
-    """The sum is over the cap: args are the time and the sum."""
+class CapExceeded(Exception):
+    """The sum of the quotas exceeds the cap; args are the time in seconds and the sum."""
 
 
-class Play(Timeline):
-    """Servers that ask, an owner that changes, messages lost, doubled and late, stops and restarts; clocks
-    that differ by as much as is allowed for."""
+class QuotaSimulation(Timeline):
+    """A random schedule of quota requests, with changes of owner, message loss, duplication and delay, pauses
+    and restarts of servers, and clocks that differ by up to 0.9 of the allowed drift.
+    """
 
-    def __init__(self, seed, servers, spare=1, holder=QuotaClient, splitter=QuotaAllocator):
+    def __init__(self, seed, servers, spare=1, client=QuotaClient, allocator=QuotaAllocator):
+        """spare: how many more servers the cap is split for than are present."""
         super().__init__()
-        self.random_source, self.servers, self.largest = (
+        self.random_source, self.servers, self.max_servers = (
             SeededRandom(seed * 7919 + 1),
             servers,
             servers + spare,
         )
-        for _ in range(8):
+        for _ in range(8):  # the first draws of neighbouring seeds are alike
             self.random_source.random()
-        self.make_holder, self.make_splitter = holder, splitter
+        self.make_client, self.make_allocator = client, allocator
         self.rates = [1 + 0.9 * CLOCK_DRIFT * (self.random_source.random() - 0.5) for _ in range(servers)]
-        self.needs = [20 * self.random_source.random() for _ in range(servers)]
-        self.stopped, self.fence, self.lent, self.most = [0.0] * servers, 0, 0, 0.0
-        self.holders = [holder(self.clock(n), CAP / self.largest, LASTS) for n in range(servers)]
+        self.required_calls = [20 * self.random_source.random() for _ in range(servers)]
+        self.paused_until, self.fencing_token, self.lent, self.max_total = [0.0] * servers, 0, 0, 0.0
+        self.clients = [
+            client(self.clock(number), CAP / self.max_servers, GRANT_DURATION_S) for number in range(servers)
+        ]
         self.new_owner()
         for number in range(servers):
-            self.at(ROUND * self.random_source.random(), self.ask, number)
-        self.at(1.0, self.trouble)
+            self.at(REQUEST_INTERVAL_S * self.random_source.random(), self.send_request, number)
+        self.at(1.0, self.inject_fault)
 
     def clock(self, number):
+        """Return the server's own clock, which runs at its own rate from its own start."""
         return self.now * self.rates[number] + 1000.0 * number
 
     def new_owner(self):
-        self.fence, self.owner = self.fence + 1, int(self.random_source.random() * self.servers)
-        self.splitter = self.make_splitter(self.clock(self.owner), self.fence, CAP, self.largest, LASTS)
+        """Move the allocator to another server, which knows nothing of earlier grants."""
+        self.fencing_token, self.owner = (
+            self.fencing_token + 1,
+            int(self.random_source.random() * self.servers),
+        )
+        self.allocator = self.make_allocator(
+            self.clock(self.owner), self.fencing_token, CAP, self.max_servers, GRANT_DURATION_S
+        )
 
     def send(self, action, *args):
-        share = self.random_source.random
-        if share() < 0.1:
+        """Deliver a message by a later action(*args); a tenth is lost, a tenth duplicated, a tenth late."""
+        draw = self.random_source.random
+        if draw() < 0.1:
             return
-        for _ in range(1 + (share() < 0.1)):
-            self.at(0.01 + 0.1 * share() + (1.5 * LASTS * share() if share() < 0.1 else 0.0), action, *args)
+        for _ in range(1 + (draw() < 0.1)):
+            self.at(
+                0.01 + 0.1 * draw() + (1.5 * GRANT_DURATION_S * draw() if draw() < 0.1 else 0.0),
+                action,
+                *args,
+            )
 
-    def ask(self, number):
-        self.at(ROUND * (0.8 + 0.4 * self.random_source.random()), self.ask, number)
-        if self.now >= self.stopped[number]:
+    def send_request(self, number):
+        """Send a request of a server to the owner, and schedule its next one."""
+        self.at(REQUEST_INTERVAL_S * (0.8 + 0.4 * self.random_source.random()), self.send_request, number)
+        if self.now >= self.paused_until[number]:
             if self.random_source.random() < 0.05:
-                self.needs[number] = 50 * self.random_source.random() ** 3
-            holder = self.holders[number]
-            self.send(self.asked, number, holder, holder.request(self.clock(number), self.needs[number]))
+                self.required_calls[number] = 50 * self.random_source.random() ** 3
+            client = self.clients[number]
+            self.send(
+                self.on_request,
+                number,
+                client,
+                client.request(self.clock(number), self.required_calls[number]),
+            )
 
-    def asked(self, number, holder, said):
-        wait = self.stopped[self.owner] - self.now
+    def on_request(self, number, client, request):
+        """Process a request at the owner, once it is not paused."""
+        wait = self.paused_until[self.owner] - self.now
         if wait > 0:
-            self.at(wait, self.asked, number, holder, said)
+            self.at(wait, self.on_request, number, client, request)
             return
-        grant = self.splitter.handle_request(self.clock(self.owner), f"n{number}", said)
+        grant = self.allocator.handle_request(self.clock(self.owner), f"n{number}", request)
         if grant is not None:
-            self.send(self.granted, number, holder, grant)
+            self.send(self.on_grant, number, client, grant)
 
-    def granted(self, number, holder, grant):
-        wait = self.stopped[number] - self.now
-        if holder is not self.holders[number]:
-            return  # of an earlier life
+    def on_grant(self, number, client, grant):
+        """Process a grant at the server, once it is not paused."""
+        wait = self.paused_until[number] - self.now
+        if client is not self.clients[number]:
+            return  # for an earlier incarnation of the server
         if wait > 0:
-            self.at(wait, self.granted, number, holder, grant)
-        elif holder.accept(self.clock(number), grant):
-            self.lent += grant.amount > holder.guaranteed
-
-    def trouble(self):
-        share = self.random_source.random
-        self.at(1 + 4 * share(), self.trouble)
-        number, kind = int(share() * self.servers), share()
+            self.at(wait, self.on_grant, number, client, grant)
+        elif client.accept(self.clock(number), grant):
+            self.lent += grant.amount > client.guaranteed
+
+    def inject_fault(self):
+        """Restart a server, pause one, change the owner or do nothing, and schedule the next fault."""
+        draw = self.random_source.random
+        self.at(1 + 4 * draw(), self.inject_fault)
+        number, kind = int(draw() * self.servers), draw()
         if kind < 0.25:
-            self.holders[number] = self.make_holder(self.clock(number), CAP / self.largest, LASTS)
+            self.clients[number] = self.make_client(
+                self.clock(number), CAP / self.max_servers, GRANT_DURATION_S
+            )
         elif kind < 0.6:
-            self.stopped[number] = self.now + 2 * LASTS * share()
+            self.paused_until[number] = self.now + 2 * GRANT_DURATION_S * draw()
         elif kind < 0.75:
             self.new_owner()
 
     def look(self):
-        absent = (self.largest - self.servers) * CAP / self.largest
-        total = sum(one.available(self.clock(n)) for n, one in enumerate(self.holders)) + absent
-        self.most = max(self.most, total)
+        """Check the sum of all quotas. Raise CapExceeded if it exceeds the cap."""
+        absent = (self.max_servers - self.servers) * CAP / self.max_servers
+        total = (
+            sum(client.available(self.clock(number)) for number, client in enumerate(self.clients)) + absent
+        )
+        self.max_total = max(self.max_total, total)
         if total > CAP + TOLERANCE:
-            raise Over(self.now, total)
+            raise CapExceeded(self.now, total)
 
 
-# ---- all orders
+# ---- exhaustive search
 
 
 class Bounds(NamedTuple):
+    """Limits of the search; the fields from `steps` on count the actions of one kind along a path."""
+
     states: int = 60_000
     depth: int = 30
-    flying: int = 3
-    steps: int = 6
-    asks: int = 6
+    flying: int = 3  # messages in transit
+    steps: int = 6  # of time, TIME_STEP_S each
+    asks: int = 6  # requests
     owners: int = 1  # changes of owner
     restarts: int = 0
 
 
-HALF = 0.55 * LASTS  # a step: two are past a grant, four past a promise
-NEEDS = (0.0, 40.0)  # the first lends, the second borrows
+TIME_STEP_S = 0.55 * GRANT_DURATION_S  # seconds of a step: two outlast a grant, four a promised reduction
+REQUIRED_CALLS = (0.0, 40.0)  # by server: the first lends, the second borrows
 
 
-class World:
-    __slots__ = ("fence", "flying", "holders", "now", "splitter", "used")
+class SearchState:
+    """A state of the search: clock, messages in transit, clients, allocator, and the actions used so far."""
 
+    __slots__ = ("fencing_token", "flying", "clients", "now", "allocator", "used")
 
-def copy_of(one):
-    other = object.__new__(type(one))
-    slots = getattr(type(one), "__slots__", None)
-    for name in slots or vars(one):
-        value = getattr(one, name)
+
+def copy_state(original):
+    """Return a copy of a client, allocator or server record, deep as far as its state is mutable."""
+    duplicate = object.__new__(type(original))
+    slots = getattr(type(original), "__slots__", None)
+    for name in slots or vars(original):
+        value = getattr(original, name)
         if isinstance(value, dict):
-            value = {k: copy_of(v) if hasattr(v, "sent") else v for k, v in value.items()}
+            value = {
+                label: copy_state(item) if hasattr(item, "sent") else item for label, item in value.items()
+            }
         elif isinstance(value, list):
             value = [list(row) if isinstance(row, list) else row for row in value]
         elif isinstance(value, deque):
             value = deque(value, value.maxlen)
-        setattr(other, name, value)
-    return other
-
-
-def begin(holder=QuotaClient, splitter=QuotaAllocator):
-    """Both hold their sure share, and an owner may lend."""
-    world = World()
-    world.now, world.flying, world.fence, world.used = 100.0, [], 1, dict.fromkeys(Bounds._fields[3:], 0)
-    world.holders = [holder(world.now - 50.0, CAP / 2, LASTS) for _ in NEEDS]
-    world.splitter = splitter(world.now - 50.0, 1, CAP, 2, LASTS)
-    for number in (0, 1):  # both are known
-        world.holders[number].available(world.now)
-        world.splitter.handle_request(
-            world.now, str(number), QuotaRequest(NEEDS[number], -1.0, GrantId(0, 0))
+        setattr(duplicate, name, value)
+    return duplicate
+
+
+def initial_state(client=QuotaClient, allocator=QuotaAllocator):
+    """Return the first state: both servers hold their guaranteed quota, and the owner may lend."""
+    state = SearchState()
+    state.now, state.flying, state.fencing_token, state.used = (
+        100.0,
+        [],
+        1,
+        dict.fromkeys(Bounds._fields[3:], 0),
+    )
+    state.clients = [client(state.now - 50.0, CAP / 2, GRANT_DURATION_S) for _ in REQUIRED_CALLS]
+    state.allocator = allocator(state.now - 50.0, 1, CAP, 2, GRANT_DURATION_S)
+    for number in (0, 1):  # make both known to the owner
+        state.clients[number].available(state.now)
+        state.allocator.handle_request(
+            state.now, str(number), QuotaRequest(REQUIRED_CALLS[number], -1.0, GrantId(0, 0))
         )
-    return world
+    return state
 
 
-def lent(holder=QuotaClient, splitter=QuotaAllocator):
-    """The first has promised less and said so; what the second may borrow is on its way."""
-    world = begin(holder, splitter)
+def lending_state(client=QuotaClient, allocator=QuotaAllocator):
+    """Return a state where the first server has confirmed a reduction and the second is about to borrow."""
+    state = initial_state(client, allocator)
     for action in (
         ("ask", 0, ""),
         ("deliver", 0, ""),
@@ -170,152 +212,173 @@
         ("ask", 1, ""),
         ("deliver", 1, ""),
     ):
-        world, _ = act(world, action, holder, splitter)
-    world.flying = [one for one in world.flying if one[1] == 1]
-    world.used = dict.fromkeys(world.used, 0)
-    return world
-
-
-def actions(world, bounds):
-    out = [("deliver", n, one[0]) for n, one in enumerate(world.flying) if one not in world.flying[:n]]
-    if world.used["asks"] < bounds.asks and len(world.flying) < bounds.flying:
-        out += [("ask", n, "") for n in range(len(NEEDS))]
-    if world.used["steps"] < bounds.steps:
-        out.append(("time", 0, ""))
-    if world.used["owners"] < bounds.owners:
-        out.append(("owner", 0, ""))
-    if world.used["restarts"] < bounds.restarts:
-        out += [("restart", n, "") for n in range(len(NEEDS))]
-    return out
-
-
-COUNTED = {"ask": "asks", "time": "steps", "owner": "owners", "restart": "restarts"}
-
-
-def act(world, action, holder=QuotaClient, splitter=QuotaAllocator):
-    """The next state, and the broken invariant or None."""
-    what, which, _ = action
-    after = World()
-    after.now, after.flying, after.fence = world.now, list(world.flying), world.fence
-    after.used = dict(world.used)
-    after.holders, after.splitter = [copy_of(one) for one in world.holders], copy_of(world.splitter)
-    if what in COUNTED:
-        after.used[COUNTED[what]] += 1
-    if what == "ask":
-        need, stamp, holding = after.holders[which].request(after.now, NEEDS[which])
-        after.flying.append(("ask", which, need, stamp, tuple(holding)))
-    elif what == "time":
-        after.now = round(after.now + HALF, 6)
-    elif what == "owner":
-        after.fence += 1
-        after.splitter = splitter(after.now, after.fence, CAP, 2, LASTS)
-    elif what == "restart":
-        after.holders[which] = holder(after.now, CAP / 2, LASTS)
+        state, _ = apply_action(state, action, client, allocator)
+    state.flying = [message for message in state.flying if message[1] == 1]
+    state.used = dict.fromkeys(state.used, 0)
+    return state
+
+
+def actions(state, bounds):
+    """Return the actions possible in this state within the bounds, as (kind, index, text)."""
+    possible = [
+        ("deliver", index, message[0])
+        for index, message in enumerate(state.flying)
+        if message not in state.flying[:index]
+    ]
+    if state.used["asks"] < bounds.asks and len(state.flying) < bounds.flying:
+        possible += [("ask", number, "") for number in range(len(REQUIRED_CALLS))]
+    if state.used["steps"] < bounds.steps:
+        possible.append(("time", 0, ""))
+    if state.used["owners"] < bounds.owners:
+        possible.append(("owner", 0, ""))
+    if state.used["restarts"] < bounds.restarts:
+        possible += [("restart", number, "") for number in range(len(REQUIRED_CALLS))]
+    return possible
+
+
+# The field of Bounds that limits each kind of action.
+BOUND_BY_KIND = {"ask": "asks", "time": "steps", "owner": "owners", "restart": "restarts"}
+
+
+def apply_action(state, action, client=QuotaClient, allocator=QuotaAllocator):
+    """Return the next state, and the violated invariant or None."""
+    kind, which, _ = action
+    after = SearchState()
+    after.now, after.flying, after.fencing_token = state.now, list(state.flying), state.fencing_token
+    after.used = dict(state.used)
+    after.clients, after.allocator = (
+        [copy_state(original) for original in state.clients],
+        copy_state(state.allocator),
+    )
+    if kind in BOUND_BY_KIND:
+        after.used[BOUND_BY_KIND[kind]] += 1
+    if kind == "ask":
+        required, sent_at, held = after.clients[which].request(after.now, REQUIRED_CALLS[which])
+        after.flying.append(("ask", which, required, sent_at, tuple(held)))
+    elif kind == "time":
+        after.now = round(after.now + TIME_STEP_S, 6)
+    elif kind == "owner":
+        after.fencing_token += 1
+        after.allocator = allocator(after.now, after.fencing_token, CAP, 2, GRANT_DURATION_S)
+    elif kind == "restart":
+        after.clients[which] = client(after.now, CAP / 2, GRANT_DURATION_S)
     else:
         message = after.flying.pop(which)
         if message[0] == "ask":
-            _, number, need, stamp, holding = message
-            grant = after.splitter.handle_request(
-                after.now, str(number), QuotaRequest(need, stamp, GrantId(*holding))
+            _, number, required, sent_at, held = message
+            grant = after.allocator.handle_request(
+                after.now, str(number), QuotaRequest(required, sent_at, GrantId(*held))
             )
             if grant is not None:
                 after.flying.append(("grant", number, grant))
         else:
-            after.holders[message[1]].accept(after.now, QuotaGrant(*message[2]))
-    total = sum(one.available(after.now) for one in after.holders)
+            after.clients[message[1]].accept(after.now, QuotaGrant(*message[2]))
+    total = sum(holder.available(after.now) for holder in after.clients)
     return after, "the sum of shares is under the cap" if total > CAP + TOLERANCE else None
 
 
-def key(world):
-    def ago(at):
-        return round(min(9.0, max(-9.0, at - world.now)), 3)
+def key(state):
+    """Return a hash of the state with all times relative to now, so that equal states are explored once."""
 
-    s = world.splitter
-    places = tuple(
+    def relative(at):
+        """Return a time relative to now, limited to 9 seconds either way."""
+        return round(min(9.0, max(-9.0, at - state.now)), 3)
+
+    allocator = state.allocator
+    server_quotas = tuple(
         (
-            n,
-            p.need,
-            ago(p.requested_at),
-            p.confirmed_amount,
-            ago(p.confirmed_until),
-            p.reduced_after,
-            tuple((a, b, ago(c)) for a, b, c in p.sent),
+            name,
+            quota.need,
+            relative(quota.requested_at),
+            quota.confirmed_amount,
+            relative(quota.confirmed_until),
+            quota.reduced_after,
+            tuple((number, amount, relative(until)) for number, amount, until in quota.sent),
         )
-        for n, p in sorted(s.servers.items())
+        for name, quota in sorted(allocator.servers.items())
     )
-    holders = tuple(
-        (*h.current_grant, h.source, h.amount, ago(h.valid_until), tuple(map(ago, h.request_times)))
-        for h in world.holders
+    clients = tuple(
+        (
+            *client.current_grant,
+            client.source,
+            client.amount,
+            relative(client.valid_until),
+            tuple(map(relative, client.request_times)),
+        )
+        for client in state.clients
     )
     flying = tuple(
         sorted(
             repr(
-                ("ask", one[1], ago(one[3]), one[4])
-                if one[0] == "ask"
-                else ("grant", one[1], one[2][:3], ago(one[2].request_sent_at))
+                ("ask", message[1], relative(message[3]), message[4])
+                if message[0] == "ask"
+                else ("grant", message[1], message[2][:3], relative(message[2].request_sent_at))
             )
-            for one in world.flying
+            for message in state.flying
         )
     )
     return hash(
         (
-            world.fence,
-            s.number,
-            ago(s.lending_from),
-            ago(s.targets_computed_at),
-            places,
-            holders,
+            state.fencing_token,
+            allocator.number,
+            relative(allocator.lending_from),
+            relative(allocator.targets_computed_at),
+            server_quotas,
+            clients,
             flying,
-            tuple(world.used.items()),
+            tuple(state.used.items()),
         )
     )
 
 
-def explore(bounds, holder=QuotaClient, splitter=QuotaAllocator, start=begin):
+def explore(bounds, client=QuotaClient, allocator=QuotaAllocator, start=initial_state):
+    """Search all states within the bounds, breadth first, from `start`; return model_checker's Found."""
     return search(
-        start(holder, splitter),
+        start(client, allocator),
         bounds,
-        lambda world: actions(world, bounds),
-        lambda world, action: act(world, action, holder, splitter),
+        lambda state: actions(state, bounds),
+        lambda state, action: apply_action(state, action, client, allocator),
         key,
     )
 
 
-WORDS = {
+DESCRIPTIONS = {
     "deliver": "arrives: {1} {0}",
-    "ask": "server {0} asks",
-    "time": "half a grant's time passes",
-    "owner": "another owner",
-    "restart": "server {0} is killed and back",
+    "ask": "server {0} sends a request",
+    "time": "more than half of a grant's duration passes",
+    "owner": "the owner changes",
+    "restart": "server {0} is killed and restarted",
 }
 
 
-def tell(story):
-    return [WORDS[what].format(which, text) for what, which, text in story]
+def describe(trace):
+    """Return the actions of a trace as readable lines."""
+    return [DESCRIPTIONS[kind].format(which, text) for kind, which, text in trace]
 
 
 def main(servers, seeds, out):
-    """1 where the sum was over the cap."""
-    bad = lent = 0
+    """Run both checks and print their figures. Return 1 if the sum exceeded the cap, else 0."""
+    violations = lent = 0
     for seed in seeds:
-        play = Play(seed, servers)
+        simulation = QuotaSimulation(seed, servers)
         try:
-            play.run(300.0)
-        except Over as over:
-            bad += 1
-            print(f"seed={seed} over the cap at {over.args[0]:.3f} s: {over.args[1]:.3f}", file=out)
-        lent += play.lent
+            simulation.run(300.0)
+        except CapExceeded as exceeded:
+            violations += 1
+            print(f"seed={seed} over the cap at {exceeded.args[0]:.3f} s: {exceeded.args[1]:.3f}", file=out)
+        lent += simulation.lent
     print(
-        f"virtual servers={servers} seeds={len(seeds)} minutes={5 * len(seeds)} lent={lent} over_cap={bad}",
+        f"virtual servers={servers} seeds={len(seeds)} minutes={5 * len(seeds)} lent={lent} "
+        f"over_cap={violations}",
         file=out,
     )
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     found = explore(Bounds())
     print(
         f"explored states={found.states} depth={found.depth} whole={int(found.whole)} "
-        f"broken={found.broken or 0} seconds={time.perf_counter() - began:.1f}",
+        f"broken={found.broken or 0} seconds={time.perf_counter() - started_at:.1f}",
         file=out,
     )
-    for line in tell(found.story):
+    for line in describe(found.story):
         print("  " + line, file=out)
-    return 1 if bad or found.broken else 0
+    return 1 if violations or found.broken else 0
--- a/valeturn/lab/turns.py
+++ b/valeturn/lab/turns.py
@@ -1,9 +1,10 @@
-"""`lab turns --virtual`: a whole release over many servers in virtual time, by the owner's own order and by
-three plainer ways on the same load.
+"""`lab turns --virtual`: a whole release over many servers in virtual time, by the leader's drain
+schedule and by three baseline strategies under the same load.
 
-A server is its cores and how warm it is; the load is spread over all that serve, and what is over their cores
-is lost. Reports and facts take a moment; machines fail by chance where `troubles` says so. No owner changes
-here: the real servers of `lab turns` have those."""
+A server is one core and its warm-up; the load is spread over all servers that serve, and load above their
+capacity is lost. Committed records take effect a step later; a share of the servers crashes where asked for.
+The leader does not change here; `lab turns` covers that with real servers.
+"""
 
 from __future__ import annotations
 
@@ -16,14 +17,11 @@
 from ..transport.seeded_random import SeededRandom
 from .virtual import percentile
 
-STEP = 0.5  # s
-LEASE, LASTS = 2.0, 3.0
-DRAIN, WORK, COLD, SPEED = (
-    4.0,
-    45.0,
-    20.0,
-    0.3,
-)  # s to empty, of work, of warming up; share of its speed at first
+STEP_S = 0.5  # seconds of virtual time per step
+# Seconds: the leader's lease, and the validity of an answer to a report.
+LEASE_S, RESPONSE_VALIDITY_S = 2.0, 3.0
+# Seconds to drain, of maintenance work and of warming up; and the share of its full speed after a cold start.
+DRAIN_S, WORK_S, WARM_UP_S, COLD_START_SPEED = 4.0, 45.0, 20.0, 0.3
 LIMITS = MaintenanceLimits(
     max_unavailable=40,
     max_unavailable_share=0.2,
@@ -35,176 +33,210 @@
 )
 
 
-class Machine:
-    """One server: in, or on its way through its turn."""
+class SimulatedServer:
+    """One server: serving, or in some stage of its maintenance."""
 
     def __init__(self, number):
-        self.name, self.zone, self.life = f"n{number}", f"z{number % 3}", 1
-        self.doing, self.fence, self.at, self.there, self.done = RecordState.WAITING, 0, -1e9, True, False
-        self.born, self.answers, self.lost = -1e9, 1000, False
-
-    def warm(self, now):
-        return min(1.0, SPEED + (1 - SPEED) * (now - self.born) / COLD) if now - self.born < COLD else 1.0
+        self.name, self.zone, self.incarnation = f"n{number}", f"z{number % 3}", 1
+        self.state, self.fencing_token, self.changed_at, self.running, self.maintained = (
+            RecordState.WAITING,
+            0,
+            -1e9,
+            True,
+            False,
+        )
+        self.started_at, self.answer_count, self.crashed = -1e9, 1000, False
+
+    def warmup(self, now):
+        """Return the share of its full speed that the server has reached."""
+        return (
+            min(1.0, COLD_START_SPEED + (1 - COLD_START_SPEED) * (now - self.started_at) / WARM_UP_S)
+            if now - self.started_at < WARM_UP_S
+            else 1.0
+        )
 
     def capacity(self, now):
-        """Cores that serve: one that drains serves what it has read alone."""
-        return self.warm(now) if self.there and self.doing == RecordState.WAITING else 0.0
+        """Return the cores that serve new load; a draining server only finishes what it has read."""
+        return self.warmup(now) if self.running and self.state == RecordState.WAITING else 0.0
 
     def step(self, now):
-        if self.doing == RecordState.DRAINING and now - self.at >= DRAIN:
-            self.doing, self.at = RecordState.DRAINED, now
-        if not self.there and now - self.at >= WORK:
-            self.done = self.done or not self.lost
-            self.there, self.lost, self.doing, self.life = True, False, RecordState.WAITING, self.life + 1
-            self.born, self.answers = now, 0
-        if self.there and self.doing == RecordState.WAITING:
-            self.answers += 5
+        """Finish a drain or a stay out of service that is over, and count answers."""
+        if self.state == RecordState.DRAINING and now - self.changed_at >= DRAIN_S:
+            self.state, self.changed_at = RecordState.DRAINED, now
+        if not self.running and now - self.changed_at >= WORK_S:
+            self.maintained = self.maintained or not self.crashed
+            self.running, self.crashed, self.state, self.incarnation = (
+                True,
+                False,
+                RecordState.WAITING,
+                self.incarnation + 1,
+            )
+            self.started_at, self.answer_count = now, 0
+        if self.running and self.state == RecordState.WAITING:
+            self.answer_count += 5
 
-    def out(self, now, fence=0):
-        self.doing, self.fence, self.at = RecordState.DRAINING, fence, now
+    def start_drain(self, now, fencing_token=0):
+        """Start to drain, under the fencing token of the grant."""
+        self.state, self.fencing_token, self.changed_at = RecordState.DRAINING, fencing_token, now
 
-    def work(self, now):
-        self.there, self.at = False, now
+    def start_work(self, now):
+        """Stop for the maintenance work."""
+        self.running, self.changed_at = False, now
 
-    def lose(self, now):
-        """It dies unasked, and is back cold after as long as work takes."""
-        if self.there and self.doing == RecordState.WAITING:
-            self.there, self.lost, self.at = False, True, now
+    def crash(self, now):
+        """Crash if serving; the server returns cold after as long as maintenance work takes."""
+        if self.running and self.state == RecordState.WAITING:
+            self.running, self.crashed, self.changed_at = False, True, now
 
 
 class Release:
-    """All of them, once, under a load of so many cores."""
+    """A release over all servers, once, under a load given as a share of their cores."""
 
-    def __init__(self, count, load, seed, troubles=0.0):
-        """troubles: share of them that die, unasked, a minute after the beginning."""
-        self.random_source, self.machines, self.now = (
+    def __init__(self, count, load, seed, crash_share=0.0):
+        """crash_share: share of the servers that crash a minute after the beginning."""
+        self.random_source, self.servers, self.now = (
             SeededRandom(seed),
-            [Machine(n) for n in range(count)],
+            [SimulatedServer(number) for number in range(count)],
             0.0,
         )
-        for _ in range(8):
+        for _ in range(8):  # the first draws of neighbouring seeds are alike
             self.random_source.random()
-        self.count, self.share_load, self.troubles = count, load, troubles
-        self.served, self.asked, self.by_second = 0.0, 0.0, []
+        self.count, self.load_share, self.crash_share = count, load, crash_share
+        self.served, self.offered, self.served_shares = 0.0, 0.0, []
         self.most_out = 0
 
     def load(self):
+        """Return the load in cores: a slow wave and some noise around the mean."""
         wave = 1 + 0.05 * math.sin(self.now / 40.0) + 0.02 * (self.random_source.random() - 0.5)
-        return self.count * self.share_load * wave
+        return self.count * self.load_share * wave
 
     def step(self):
-        for machine in self.machines:
-            machine.step(self.now)
+        """Advance all servers by one step and count what was served."""
+        for server in self.servers:
+            server.step(self.now)
         if self.now == 60.0:
-            for machine in self.machines:
-                if self.random_source.random() < self.troubles:
-                    machine.lose(self.now)
-        room, load = sum(machine.capacity(self.now) for machine in self.machines), self.load()
-        self.busy = min(1.0, load / max(1e-9, room))
-        self.asked += load * STEP
-        self.served += min(load, room) * STEP
-        self.by_second.append(min(load, room) / load)
-        self.most_out = max(self.most_out, sum(m.capacity(self.now) == 0 for m in self.machines))
-        self.now += STEP
-
-    def all_done(self):
-        return all(m.done and m.warm(self.now) >= 1 for m in self.machines)
+            for server in self.servers:
+                if self.random_source.random() < self.crash_share:
+                    server.crash(self.now)
+        capacity, load = sum(server.capacity(self.now) for server in self.servers), self.load()
+        self.utilization = min(1.0, load / max(1e-9, capacity))
+        self.offered += load * STEP_S
+        self.served += min(load, capacity) * STEP_S
+        self.served_shares.append(min(load, capacity) / load)
+        self.most_out = max(self.most_out, sum(server.capacity(self.now) == 0 for server in self.servers))
+        self.now += STEP_S
+
+    def is_complete(self):
+        """Whether all servers have been maintained and are warm."""
+        return all(server.maintained and server.warmup(self.now) >= 1 for server in self.servers)
 
     def figures(self):
-        window = int(10 / STEP)
-        tens = [
-            sum(self.by_second[n : n + window]) / window for n in range(0, len(self.by_second) - window + 1)
+        """Return seconds taken, served share of the load in all and at worst, and most servers out."""
+        window = int(10 / STEP_S)
+        windows = [
+            sum(self.served_shares[start : start + window]) / window
+            for start in range(0, len(self.served_shares) - window + 1)
         ]
         return {
             "took": self.now,
-            "served": self.served / self.asked,
-            "worst_10s": min(tens),
+            "served": self.served / self.offered,
+            "worst_10s": min(windows),
             "most_out": self.most_out,
         }
 
 
-def by_order(release, limits=LIMITS, most=36000.0):
-    """The owner's own decision, with committed facts a moment later."""
-    order, facts, reports = DrainSchedule(limits, LEASE, LASTS, 0.0), ClusterState(), {}
-    for number, machine in enumerate(release.machines):
-        facts = facts.apply(
+def by_schedule(release, limits=LIMITS, max_seconds=36000.0):
+    """Play the release by the leader's drain schedule; records are committed one step later."""
+    schedule, cluster_state, reports = (
+        DrainSchedule(limits, LEASE_S, RESPONSE_VALIDITY_S, 0.0),
+        ClusterState(),
+        {},
+    )
+    for number, server in enumerate(release.servers):
+        cluster_state = cluster_state.apply(
             decode_command(
                 RecordUpdated(
-                    MaintenanceRecord(machine.name, number + 1, "release", False, 3 * WORK)
+                    MaintenanceRecord(server.name, number + 1, "release", False, 3 * WORK_S)
                 ).encode()
             )
         )
-    while not release.all_done() and release.now < most:
+    while not release.is_complete() and release.now < max_seconds:
         release.step()
         now = release.now
-        rows = {row[0]: decode_record(row) for row in facts.maintenance_records}
-        for machine in release.machines:
-            if not machine.there:
-                reports[machine.name] = reports[machine.name]._replace(alive=False)
+        rows = {row[0]: decode_record(row) for row in cluster_state.maintenance_records}
+        for server in release.servers:
+            if not server.running:
+                reports[server.name] = reports[server.name]._replace(alive=False)
                 continue
-            reports[machine.name] = view = ServerView(
-                machine.name,
-                machine.zone,
-                machine.life,
+            reports[server.name] = view = ServerView(
+                server.name,
+                server.zone,
+                server.incarnation,
                 True,
                 False,
                 1.0,
-                release.busy if machine.doing == RecordState.WAITING else 0.0,
-                machine.warm(now),
-                release.busy > 0.99,
-                machine.answers,
-                machine.doing,
-                machine.fence,
+                release.utilization if server.state == RecordState.WAITING else 0.0,
+                server.warmup(now),
+                release.utilization > 0.99,
+                server.answer_count,
+                server.state,
+                server.fencing_token,
                 now,
             )
-            verb, fence = order.response_to(now, rows.get(machine.name), view)
-            if verb == "out" and machine.doing == RecordState.WAITING:
-                machine.out(now, fence)
-            elif verb == "work" and machine.doing == RecordState.DRAINED:
-                machine.work(now)
-            elif verb == "back":
-                machine.doing, machine.life, machine.born = RecordState.WAITING, machine.life + 1, now
-        for entry in order.plan(now, list(rows.values()), reports, facts.maintenance_held):
-            facts = facts.apply(decode_command(entry.encode()))
+            instruction, fencing_token = schedule.response_to(now, rows.get(server.name), view)
+            if instruction == "out" and server.state == RecordState.WAITING:
+                server.start_drain(now, fencing_token)
+            elif instruction == "work" and server.state == RecordState.DRAINED:
+                server.start_work(now)
+            elif instruction == "back":
+                server.state, server.incarnation, server.started_at = (
+                    RecordState.WAITING,
+                    server.incarnation + 1,
+                    now,
+                )
+        for entry in schedule.plan(now, list(rows.values()), reports, cluster_state.maintenance_held):
+            cluster_state = cluster_state.apply(decode_command(entry.encode()))
     return release.figures()
 
 
-def plain(release, batch, pause, most=36000.0):
-    """So many at once, the next ones once these are warm and a pause is over."""
-    todo, out, free_at = list(release.machines), [], 0.0
-    while not release.all_done() and release.now < most:
+def in_batches(release, batch_size, pause_s, max_seconds=36000.0):
+    """Play the release in fixed batches; the next one starts `pause_s` seconds after the last one is warm."""
+    remaining, current_batch, next_at = list(release.servers), [], 0.0
+    while not release.is_complete() and release.now < max_seconds:
         release.step()
-        for machine in out:
-            if machine.there and machine.doing == RecordState.WAITING and not machine.done:
-                machine.out(release.now)
-            if machine.doing == RecordState.DRAINED and machine.there:
-                machine.work(release.now)
-        if out and all(m.done and m.warm(release.now) >= 1 for m in out):
-            out, free_at = [], release.now + pause
-        if not out and todo and release.now >= free_at:
-            todo.sort(key=lambda machine: machine.lost)  # those that are not there come later
-            out, todo = todo[:batch], todo[batch:]
-            for machine in out:
-                machine.out(release.now)
+        for server in current_batch:
+            if server.running and server.state == RecordState.WAITING and not server.maintained:
+                server.start_drain(release.now)
+            if server.state == RecordState.DRAINED and server.running:
+                server.start_work(release.now)
+        if current_batch and all(
+            server.maintained and server.warmup(release.now) >= 1 for server in current_batch
+        ):
+            current_batch, next_at = [], release.now + pause_s
+        if not current_batch and remaining and release.now >= next_at:
+            remaining.sort(key=lambda server: server.crashed)  # servers that have crashed come last
+            current_batch, remaining = remaining[:batch_size], remaining[batch_size:]
+            for server in current_batch:
+                server.start_drain(release.now)
     return release.figures()
 
 
-WAYS = {
-    "order": by_order,
-    "all at once": lambda release: plain(release, release.count, 0.0),
-    "a tenth, pause 20 s": lambda release: plain(release, max(1, release.count // 10), 20.0),
-    "one at a time": lambda release: plain(release, 1, 0.0),
+STRATEGIES = {
+    "order": by_schedule,
+    "all at once": lambda release: in_batches(release, release.count, 0.0),
+    "a tenth, pause 20 s": lambda release: in_batches(release, max(1, release.count // 10), 20.0),
+    "one at a time": lambda release: in_batches(release, 1, 0.0),
 }
 
 
-def main(count, seeds, out, load=0.85, troubles=0.0):
-    """A line for each way; 1 where the order served less than the batches or did not end."""
+def main(count, seeds, out, load=0.85, crash_share=0.0):
+    """Print a line for each strategy; return 1 if the drain schedule did not finish the release, else 0."""
     found = {}
-    for way, play in WAYS.items():
-        rows = [play(Release(count, load, seed, troubles)) for seed in seeds]
-        found[way] = rows
+    for strategy, play in STRATEGIES.items():
+        rows = [play(Release(count, load, seed, crash_share)) for seed in seeds]
+        found[strategy] = rows
         print(
-            f"virtual servers={count} load={load:g} lost={troubles:g} seeds={len(rows)} way={way!r} "
+            f"virtual servers={count} load={load:g} lost={crash_share:g} seeds={len(rows)} way={strategy!r} "
             f"took_p50={percentile([row['took'] for row in rows], 0.5):.0f}s "
             f"served={sum(row['served'] for row in rows) / len(rows):.4f} "
             f"worst_10s={min(row['worst_10s'] for row in rows):.3f} "
