--- a/valeturn/lab/fleet_scenarios/history_checker.py
+++ b/valeturn/lab/fleet_scenarios/history_checker.py
@@ -1,7 +1,8 @@
-"""Counts violations of the four guarantees from recorded actions alone, independent of controller and server.
+"""Counts violations of the guarantees from recorded actions alone, independent of controller and server.
 
-No submission may be left unanswered, executed twice against its effect, answered twice, or started after the
-drain grace; and no server may collapse under its concurrency.
+Each submission that a server reads is answered, and only once; an unrepeatable one runs at most once and is
+not rejected after its start; one that arrives after the drain grace is not started. A server that collapses
+under its concurrency counts as a violation too.
 """
 
 from __future__ import annotations
