--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -56,7 +56,7 @@
     )
     assert action_types(actions).count(interface.Start) == 2
     model.batch(0.2, interface.Ended(7, interface.Outcome.DONE, 0.1))
-    assert [action.id for action in model.sent if isinstance(action, interface.Start)][:3] == [8, 7, 6]
+    assert [action.id for action in model.all_actions if isinstance(action, interface.Start)][:3] == [8, 7, 6]
 
 
 def test_few_queued_submissions_start_in_order_of_arrival():
@@ -86,12 +86,14 @@
         ).count(interface.Start)
         == 2
     )
-    assert model.rules.concurrency_limit == 3.0, "by one per timer event, however many runs end before it"
-    model.rules.concurrency_limit = 6.0
-    sums, baseline = model.rules.recent_runs.read(0.2), model.rules.baseline_runs.read(0.2)
+    assert model.controller.concurrency_limit == 3.0, (
+        "by one per timer event, however many runs end before it"
+    )
+    model.controller.concurrency_limit = 6.0
+    sums, baseline = model.controller.recent_runs.read(0.2), model.controller.baseline_runs.read(0.2)
     sums[8:10], baseline[4:6] = (1.0, 10.0), (1.0, 3.0)
     model.batch(1.5, interface.Ended(2, interface.Outcome.DONE, 1.4))
-    assert model.rules.concurrency_limit == pytest.approx(4.8)
+    assert model.controller.concurrency_limit == pytest.approx(4.8)
 
 
 def test_run_without_a_caller_is_interrupted_unless_a_duplicate_may_come():
@@ -128,12 +130,12 @@
 def test_drain_rejects_arrivals_after_the_grace_and_answers_all_before_the_stop():
     model = make_model()
     model.batch(0.1, arrival(1, FILE), interface.DrainStarted(3.0))
-    assert interface.Health(False, True) in model.sent
+    assert interface.Health(False, True) in model.all_actions
     assert action_types(model.batch(1.0, arrival(2, FILE))) == [interface.Start]
     actions = model.batch(1.2, arrival(3, FILE))
     assert actions == [interface.Reject(3, 1.0, False)]
     run_until(model, 3.05, now=1.2)
-    assert not any(submission["owed"] for submission in model.subs.values())
+    assert not any(submission["awaits_answer"] for submission in model.submissions.values())
 
 
 def test_call_is_repeated_only_if_it_is_idempotent_or_was_not_executed():
@@ -168,7 +170,9 @@
     )
     for now in (0.21, 0.22):
         done = next(
-            submission_id for submission_id, submission in model.subs.items() if submission["at"] == "calling"
+            submission_id
+            for submission_id, submission in model.submissions.items()
+            if submission["state"] == "calling"
         )
         assert (
             action_types(model.batch(now, interface.CallEnded(done, interface.Outcome.DONE, 0.01))).count(
@@ -177,10 +181,12 @@
             == 1
         )
     last = next(
-        submission_id for submission_id, submission in model.subs.items() if submission["at"] == "calling"
+        submission_id
+        for submission_id, submission in model.submissions.items()
+        if submission["state"] == "calling"
     )
     model.batch(0.3, interface.CallerGone(last), interface.Ended(last, interface.Outcome.CANCELLED, 0.2))
-    assert model.rules.call_budget < 0.8 + 0.05
+    assert model.controller.call_budget < 0.8 + 0.05
 
 
 @pytest.mark.parametrize("workload, means", [(READ, 10), (FILE, 24)])
@@ -202,22 +208,22 @@
     ]
     assert second.timeout == pytest.approx(means * 0.03)
     model.batch(1.1, interface.CallEnded(2, interface.Outcome.TIMED_OUT, 0.8))
-    assert model.rules.min_call_timeout() == pytest.approx(4 * 0.415, rel=0.05)
+    assert model.controller.min_call_timeout() == pytest.approx(4 * 0.415, rel=0.05)
 
 
 def test_cold_server_starts_no_more_than_its_maximum_concurrency():
     model = make_model(starts_cold=True, interruption=interface.Interruption.UNSUPPORTED)
-    model.rules.concurrency_limit = 99.0
+    model.controller.concurrency_limit = 99.0
     model.batch(0.1, *[arrival(number, time_left=2.0) for number in range(1, 30)])
-    assert sum(submission["at"] == "running" for submission in model.subs.values()) == 2
+    assert sum(submission["state"] == "running" for submission in model.submissions.values()) == 2
 
 
 def test_memory_limits_starts_and_the_queue():
     model = make_model(memory=400.0)
     model.batch(0.1, *[arrival(number, FILE, memory=15.0) for number in range(1, 50)])
     assert (
-        action_types(model.sent).count(interface.Start) == 1
-        and action_types(model.sent).count(interface.Reject) > 10
+        action_types(model.all_actions).count(interface.Start) == 1
+        and action_types(model.all_actions).count(interface.Reject) > 10
     )
 
 
@@ -232,7 +238,7 @@
     """While few are, other servers likely have room; with more, every submission would visit all servers."""
     model = make_model(cores=1, interruption=interface.Interruption.UNSUPPORTED)
     model.batch(0.1, *[arrival(number, cost_hint=0.9) for number in range(1, 9)])
-    rejections = [action.final for action in model.sent if isinstance(action, interface.Reject)]
+    rejections = [action.final for action in model.all_actions if isinstance(action, interface.Reject)]
     assert len(rejections) >= 4 and rejections == [
         number / 8 >= MAX_RETRY_RATIO for number in range(1, len(rejections) + 1)
     ]
@@ -241,7 +247,7 @@
 def test_degraded_server_lets_most_rejected_submissions_retry_elsewhere():
     model = make_model(cores=1, interruption=interface.Interruption.UNSUPPORTED, starts_cold=True)
     model.batch(0.1, *[arrival(number, cost_hint=0.9) for number in range(1, 9)])
-    rejections = [action for action in model.sent if isinstance(action, interface.Reject)]
+    rejections = [action for action in model.all_actions if isinstance(action, interface.Reject)]
     assert len(rejections) >= 7
     assert [action.final for action in rejections] == [
         number / 8 >= MAX_RETRY_RATIO_DEGRADED for number in range(1, len(rejections) + 1)
@@ -272,7 +278,7 @@
             interface.Ended(number, interface.Outcome.CANCELLED if silent else interface.Outcome.DONE, 0.02),
         )
         now += 1.0
-    assert model.rules.median_call_time < 0.03, "two were unanswered, each for its whole timeout"
+    assert model.controller.median_call_time < 0.03, "two were unanswered, each for its whole timeout"
     given_up = 0
     for number in range(41, 61):
         model.batch(now + 0.01, arrival(number, FILE, time_left=4.0))
@@ -388,11 +394,11 @@
     model = make_model(interruption=interface.Interruption.UNSUPPORTED)
     model.batch(0.1, arrival(1, time_left=1.0), arrival(2, time_left=1.0))
     run_until(model, 3.0, now=0.1)
-    assert interface.Health(False, True) not in model.sent
+    assert interface.Health(False, True) not in model.all_actions
     model.batch(
         3.0, arrival(3, waited=2.0, time_left=1.0), arrival(4, waited=2.0, time_left=1.0), timer_fired()
     )
-    assert interface.Health(False, True) in model.sent
+    assert interface.Health(False, True) in model.all_actions
     model.batch(
         3.1, interface.Ended(1, interface.Outcome.DONE, 3.0), interface.Ended(2, interface.Outcome.DONE, 3.0)
     )
@@ -416,7 +422,7 @@
     for now, connections in ((0.1, 15), (0.2, 60), (0.3, 60), (0.4, 15)):
         model.batch(now, interface.TimerFired(0, interface.Gauges(0.5, 1, 0.1, connections)))
     assert [
-        action.idle_time for action in model.sent if isinstance(action, interface.CloseIdleConnections)
+        action.idle_time for action in model.all_actions if isinstance(action, interface.CloseIdleConnections)
     ] == [0.1, 0.0]
 
 
@@ -426,7 +432,9 @@
         model.batch(
             0.05, *[arrival(number, FILE, cost_hint=0.6, time_left=remaining) for number in range(1, 5)]
         )
-        queued = [number for number, submission in model.subs.items() if submission["at"] == "held"]
+        queued = [
+            number for number, submission in model.submissions.items() if submission["state"] == "queued"
+        ]
         assert (len(queued) == 3) is kept
 
 
@@ -441,22 +449,22 @@
         *[arrival(number, is_retry=True, cost_hint=0.01) for number in range(1, 40)],
         arrival(40, tenant=1),
     )
-    assert model.rules.tenant_arrivals.read(0.05) == [0, 1]
+    assert model.controller.tenant_arrivals.read(0.05) == [0, 1]
 
 
 def test_number_of_spares_is_bounded_however_many_arrive_at_once():
     model = make_model(memory=1e9, interruption=interface.Interruption.UNSUPPORTED)
     model.batch(0.1, *[arrival(number, FILE, cost_hint=0.3, time_left=4.0) for number in range(1, 400)])
-    assert sum(submission["at"] == "held" for submission in model.subs.values()) < 30
+    assert sum(submission["state"] == "queued" for submission in model.submissions.values()) < 30
 
 
 def test_memory_of_a_key_is_released_after_its_window():
     model = make_model()
     model.batch(0.1, arrival(1, BOOK))
     model.batch(0.2, interface.Ended(1, interface.Outcome.DONE, 0.1))
-    assert model.rules.memory_in_use() == 10.0
+    assert model.controller.memory_in_use() == 10.0
     run_until(model, 8.3, now=0.2)
-    assert model.rules.memory_in_use() == 0.0
+    assert model.controller.memory_in_use() == 0.0
 
 
 def test_priority_of_each_queued_submission_is_computed_once_a_decision(monkeypatch):
--- a/tests/admission/test_controller_model.py
+++ b/tests/admission/test_controller_model.py
@@ -32,14 +32,14 @@
         0,
         random_source.random() < 0.3,
     )
-    leave_at = random_source.choice((None, 6.0))
+    drain_at = random_source.choice((None, 6.0))
     action_counts = {"start": 0, "reject": 0}
     while now < 16.0:
         now = round(now + case_settings.tick * random_source.choice((1, 1, 2, 4)), 6)
         model.now, events = now, []
-        if leave_at is not None and now >= leave_at and model.leave is None:
+        if drain_at is not None and now >= drain_at and model.drain_started_at is None:
             events.append(interface.DrainStarted(4.0))
-        if model.stop is not None and now >= model.stop:
+        if model.stop_at is not None and now >= model.stop_at:
             break
         while now < 9.0 and random_source.random() < 0.2:
             number += 1
@@ -66,14 +66,14 @@
             # Two tries in one batch would have to know of each other, so there is one a batch.
             if is_deduplicated:
                 break
-        for submission_id, submission in list(model.subs.items()):
-            state, roll = submission["at"], random_source.random()
-            if state == "running" and not submission["owed"] or state == "spent":
-                if submission["fresh"] and roll < 0.3:
+        for submission_id, submission in list(model.submissions.items()):
+            state, roll = submission["state"], random_source.random()
+            if state == "running" and not submission["awaits_answer"] or state == "abandoned":
+                if submission["start_revocable"] and roll < 0.3:
                     events.append(interface.Ended(submission_id, interface.Outcome.UNSTORED, 0.0))
                 elif roll < 0.1:
                     events.append(interface.Ended(submission_id, interface.Outcome.CANCELLED, 0.1))
-            elif state == "running" and submission["fresh"] and roll < 0.1:
+            elif state == "running" and submission["start_revocable"] and roll < 0.1:
                 events.append(interface.Ended(submission_id, interface.Outcome.UNSTORED, 0.0))
             elif state == "running" and roll < (0.0 if hung and now < 8 else 0.02):
                 events.append(
@@ -87,9 +87,12 @@
                 events.append(interface.CallRequested(submission_id))
             elif state == "calling" and roll < 0.05:
                 events.append(interface.CallEnded(submission_id, random_source.choice(CALL_OUTCOMES), 0.1))
-            elif state == "joined" and model.subs[submission["event"].duplicate_of]["at"] == "over":
+            elif (
+                state == "coalesced"
+                and model.submissions[submission["event"].duplicate_of]["state"] == "finished"
+            ):
                 events.append(interface.Ended(submission_id, interface.Outcome.DONE, 0.0))
-            elif state != "over" and submission["owed"] and roll > 0.998:
+            elif state != "finished" and submission["awaits_answer"] and roll > 0.998:
                 events.append(interface.CallerGone(submission_id))
         if any(fires_at <= now for fires_at in model.timers):
             events.append(
@@ -100,7 +103,7 @@
         for action in model.batch(now, *events):
             action_counts["start"] += isinstance(action, interface.Start)
             action_counts["reject"] += isinstance(action, interface.Reject)
-    assert all(not submission["owed"] for submission in model.subs.values()), (
+    assert all(not submission["awaits_answer"] for submission in model.submissions.values()), (
         "a submission was never answered"
     )
     assert action_counts["start"] > 3
--- a/tests/degradation/test_degradation.py
+++ b/tests/degradation/test_degradation.py
@@ -91,7 +91,10 @@
     }
     m.batch(0.2, events.pop(first))
     m.batch(
-        0.25, interface.CallRequested(next(iter(n for n, sub in m.subs.items() if sub["at"] == "running")))
+        0.25,
+        interface.CallRequested(
+            next(iter(n for n, sub in m.submissions.items() if sub["state"] == "running"))
+        ),
     )
     m.batch(0.3, *events.values())
     out = m.batch(
@@ -103,7 +106,7 @@
     assert not any(isinstance(a, interface.Reject) and a.final for a in out), "a drain sends callers on"
     for step in range(1, 26):
         m.batch(0.5 + step / 10, interface.TimerFired(0, interface.Gauges(1.0, 4, 0.1, 5)))
-    assert not any(sub["owed"] for sub in m.subs.values())
+    assert not any(sub["awaits_answer"] for sub in m.submissions.values())
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -113,9 +116,9 @@
     while now < 14.0:
         now = round(now + 0.01, 6)
         events = []
-        if now > 7.0 and model.leave is None and seed % 3 == 0:
+        if now > 7.0 and model.drain_started_at is None and seed % 3 == 0:
             events.append(interface.DrainStarted(4.0))
-        if model.stop is not None and now >= model.stop:
+        if model.stop_at is not None and now >= model.stop_at:
             break
         if chance.random() < 0.05:
             events.append(
@@ -150,20 +153,23 @@
                     duplicate_of=repeats,
                 )
             )
-        for one, sub in list(model.subs.items()):
+        for one, sub in list(model.submissions.items()):
             roll = chance.random()
-            if sub["at"] in ("running", "spent") and roll < 0.04:
-                done = interface.Outcome.DONE if sub["owed"] else interface.Outcome.CANCELLED
+            if sub["state"] in ("running", "abandoned") and roll < 0.04:
+                done = interface.Outcome.DONE if sub["awaits_answer"] else interface.Outcome.CANCELLED
                 events.append(interface.Ended(one, done, 0.2))
-            elif sub["at"] == "running" and sub["workload"].makes_call and roll < 0.07:
+            elif sub["state"] == "running" and sub["workload"].makes_call and roll < 0.07:
                 events.append(interface.CallRequested(one))
-            elif sub["at"] == "calling" and roll < 0.1:
+            elif sub["state"] == "calling" and roll < 0.1:
                 events.append(
                     interface.CallEnded(
                         one, chance.choice((interface.Outcome.DONE, interface.Outcome.TIMED_OUT)), 0.1
                     )
                 )
-            elif sub["at"] == "joined" and model.subs[sub["event"].duplicate_of]["at"] == "over":
+            elif (
+                sub["state"] == "coalesced"
+                and model.submissions[sub["event"].duplicate_of]["state"] == "finished"
+            ):
                 events.append(interface.Ended(one, interface.Outcome.DONE, 0.0))
         if any(t <= now for t in model.timers):
             events.append(interface.TimerFired(0, interface.Gauges(0.9, 3, 10.0, 4)))
@@ -173,7 +179,7 @@
             assert not (
                 isinstance(action, interface.Reject)
                 and action.id in started
-                and (model.subs[action.id]["workload"].effect is not interface.Effect.IDEMPOTENT)
+                and (model.submissions[action.id]["workload"].effect is not interface.Effect.IDEMPOTENT)
             ), "turned back once started"
     assert len(started) > 20
 
--- a/tests/dispatch/test_dispatcher.py
+++ b/tests/dispatch/test_dispatcher.py
@@ -58,7 +58,7 @@
 
 
 def test_end_of_execution_crosses_fail_interrupt_and_cancellation(caller):
-    """Each crosses the end of the execution: one answer at most, and the controller is told of the end."""
+    """Each crosses the end of the execution: one answer at most, and the controller gets the end."""
     for ending in ("fail", "interrupt", "cancel"):
         harness, connection = DispatcherHarness(), Caller()
         number, call = harness.arrive("read", connection, actions=[interface.Start])
@@ -428,7 +428,7 @@
     assert caller.answers[-1][:2] == (3, DELIVERED)
 
 
-def test_new_controller_during_a_drain_is_told_of_the_drain(caller):
+def test_new_controller_during_a_drain_gets_the_drain(caller):
     harness = DispatcherHarness()
     harness.turn(messages.DrainRequested(3.0))
     assert harness.events[-1] == interface.DrainStarted(3.0) and harness.serving_reports[-1] is False
@@ -500,7 +500,7 @@
             _, call = harness.arrive(workload, caller, caller=1)
             due[harness.last_number], runs[call] = (
                 harness.now + 2.0,
-                [workload, "held", harness.last_number, 0],
+                [workload, "queued", harness.last_number, 0],
             )
         events, connection_roll = [], random_source.random()
         if connection_roll < 0.02 and harness.connected:
@@ -515,18 +515,18 @@
             if run[1] == "running" and roll < 0.06:
                 number += 1
                 if run[0] != "book" and roll < 0.02:
-                    run[1], reported = "at call", [executor_protocol.CallRequest(number, call, b"ask")]
+                    run[1], reported = "awaiting_call", [executor_protocol.CallRequest(number, call, b"ask")]
                 else:
                     run[1], reported = (
-                        "over",
+                        "finished",
                         [
                             run_ended(
                                 call, random_source.choice((RunResult.DONE, RunResult.FAILED)), b"r", number
                             )
                         ],
                     )
-            elif run[1] == "at call" and roll < 0.02:
-                run[1], reported = "over", [run_ended(call, RunResult.STOPPED, b"", number)]
+            elif run[1] == "awaiting_call" and roll < 0.02:
+                run[1], reported = "finished", [run_ended(call, RunResult.STOPPED, b"", number)]
             elif roll > 0.999:
                 events.append(messages.SubmissionCancelled(caller, run[2]))
             (events if harness.connected else notices).extend(reported)
@@ -544,14 +544,14 @@
         for command in harness.commands[seen:]:
             run = runs.get(command.get("rid"))
             if command["t"] == "EXEC" and run[1] != "running":
-                if run[1] == "over" and run[3]:
+                if run[1] == "finished" and run[3]:
                     assert run[0] == "read", "an effect ran twice"
                 run[1], run[3] = "running", run[3] + 1
-            elif command["t"] in ("RETURN", "BYPASS") and run[1] == "at call":
+            elif command["t"] in ("RETURN", "BYPASS") and run[1] == "awaiting_call":
                 run[1] = "running"
-            elif command["t"] == "KILL" and run[1] in ("running", "at call"):
+            elif command["t"] == "KILL" and run[1] in ("running", "awaiting_call"):
                 number += 1
-                run[1] = "over"
+                run[1] = "finished"
                 notices.append(run_ended(command["rid"], RunResult.STOPPED, b"", number))
         seen = len(harness.commands)
         if harness.connected and notices:
--- a/tests/dispatch/test_endings.py
+++ b/tests/dispatch/test_endings.py
@@ -501,7 +501,7 @@
     def test():
         connection, far = served.connect()
         far.sendall(submission(1) + submission(2))
-        while len(connection.open) < 2:
+        while len(connection.open_streams) < 2:
             scheduler.sleep(0.002)
         connection.answer(2, b"")
         connection.close()
@@ -523,7 +523,7 @@
         connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         connection.stream.max_unsent = 1 << 23
         far.sendall(submission(1) + submission(2))
-        while len(connection.open) < 2:
+        while len(connection.open_streams) < 2:
             scheduler.sleep(0.002)
         result = frame(8, 1, b"\x01\x00" + b"r" * 1000000)
         connection.answer(1, result)
@@ -574,7 +574,7 @@
         assert [name for name, _ in FAILED] == ["gateway"] and not other.ended
         FAILED.clear()
         away.sendall(submission(1))
-        while not other.open:
+        while not other.open_streams:
             scheduler.sleep(0.002)
 
     run(scheduler, test)
@@ -588,7 +588,7 @@
         used, busy = served.connect()
         busy.sendall(submission(1))
         resting, idle = served.connect()
-        while not used.open:
+        while not used.open_streams:
             scheduler.sleep(0.002)
         new = socket.create_connection(served.gateways.listener.sock.getsockname(), timeout=10)
         new.sendall(submission(1))
@@ -627,7 +627,7 @@
         served.gateways.request_close_all(0.05)
         connection, far = served.connect()
         far.sendall(submission(1))
-        while not connection.open:
+        while not connection.open_streams:
             scheduler.sleep(0.002)
         connection.answer(1, frame(8, 1, REJECTED))
         connection.close_at = connection.idle_since = 0.0
@@ -671,9 +671,9 @@
         for _ in range(300):
             scheduler.sleep(0.01)
             link.check()
-            if link.up:
+            if link.connected:
                 break
-        assert link.up and len(executor.received) == 3
+        assert link.connected and len(executor.received) == 3
         assert [type(message) for message in box.take_all(1.0)] == [messages.ExecutorConnected], (
             "no connection was joined before, so none ended"
         )
@@ -729,7 +729,7 @@
             1,
             3,
         ]
-        assert messages.NoticesLost() in got and len(executor.received) == 2 and link.up
+        assert messages.NoticesLost() in got and len(executor.received) == 2 and link.connected
         assert not [message for message in got if isinstance(message, executor_protocol.GaugesReported)]
         scheduler.sleep(0.02)
         assert executor.received[1].count(b'"joined"') == 2, "what is in doubt waits for these gauges"
@@ -745,7 +745,7 @@
     def test():
         ledger.call(1, 1, "ref", 5.0, b"")
         (finished,) = box.take_all(5.0)
-        assert (finished.number, finished.outcome) == (1, Outcome.RESET) and not ledger.out
+        assert (finished.number, finished.outcome) == (1, Outcome.RESET) and not ledger.tasks
         FAILED.clear()
 
     run(scheduler, test)
@@ -803,7 +803,7 @@
             second, _ = server.accept()
             second.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond")
             (finished,) = box.take_all(5.0)
-            assert (finished.attempt, finished.body) == (2, b"second") and not ledger.out
+            assert (finished.attempt, finished.body) == (2, b"second") and not ledger.tasks
             assert not box.take_all(0.05)
 
         run(scheduler, test)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -53,31 +53,32 @@
 
 
 class Model:
-    """A slow, plain model of the four rules for an admission controller.
+    """A slow, plain model of what an admission controller may do.
 
-    It keeps the state that the events and actions imply. `act` fails with AssertionError on an action that
-    the rules forbid in that state.
+    It keeps the state that the events and actions imply. `act` fails with AssertionError on an action that is
+    not allowed in that state.
     """
 
-    def __init__(self, rules, settings):
-        self.rules, self.settings, self.now, self.subs, self.timers, self.entries = (
-            rules,
+    def __init__(self, controller, settings):
+        self.controller, self.settings, self.now, self.submissions, self.timers, self.stored_keys = (
+            controller,
             settings,
             0.0,
             {},
             [],
             {},
         )
-        # Each of `subs` is a dict; "at" is where it stands: held, running, at call (wants to call), calling,
-        # paused (suspended), joined (waits for its original), spent (answered, still running) or over. "owed"
-        # tells whether it needs an answer, and "fresh" whether its first start may still be undone.
-        self.leave = self.stop = None  # when a drain began, and when the process stops
+        # Each of `submissions` is a dict. Its "state" is queued, running, awaiting_call, calling, suspended,
+        # coalesced (waits for its original's result), abandoned (answered, still running) or finished.
+        # "awaits_answer" is False once it has its answer or its caller is gone; "start_revocable" is True
+        # while its first start may turn out not to have been recorded.
+        self.drain_started_at = self.stop_at = None  # when a drain began, and when the process stops
         # All actions so far; (key, arrival time) of deduplicated executions.
-        self.sent, self.executed = [], []
+        self.all_actions, self.executions = [], []
         self.calls = []  # [start, end] of calls; the time that cancelled ones linger at the dependency counts
 
     def batch(self, now, *events):
-        """Take the events into the model, have the controller decide, and check its actions."""
+        """Apply the events to the model, have the controller decide, and check its actions."""
         self.now = now
         for event in events:
             if isinstance(event, interface.Arrived):
@@ -85,29 +86,29 @@
                 time_left = (
                     event.time_left if event.time_left is not None else workload.timeout - event.waited
                 )
-                self.subs[event.id] = dict(
+                self.submissions[event.id] = dict(
                     event=event,
                     workload=workload,
-                    due=max(now, now + time_left),
-                    reached=now - event.waited,
-                    at="held",
-                    ran=False,
-                    owed=True,
-                    called=False,
-                    unrun=False,
-                    fresh=False,
+                    deadline=max(now, now + time_left),
+                    arrived_at=now - event.waited,
+                    state="queued",
+                    has_started=False,
+                    awaits_answer=True,
+                    call_made=False,
+                    call_not_executed=False,
+                    start_revocable=False,
                 )
             elif isinstance(event, interface.CallerGone):
-                if self.subs[event.id]["at"] == "calling":
-                    self.end_call(self.subs[event.id], self.settings.call_linger)
-                self.subs[event.id]["owed"] = False
-                if self.subs[event.id]["at"] in ("held", "paused", "joined"):
-                    self.subs[event.id]["at"] = "over"
+                if self.submissions[event.id]["state"] == "calling":
+                    self.end_call(self.submissions[event.id], self.settings.call_linger)
+                self.submissions[event.id]["awaits_answer"] = False
+                if self.submissions[event.id]["state"] in ("queued", "suspended", "coalesced"):
+                    self.submissions[event.id]["state"] = "finished"
             elif isinstance(event, interface.Ended):
-                self.subs[event.id]["fresh"] &= event.outcome is interface.Outcome.UNSTORED
-                self.end(self.subs[event.id], event.outcome)
+                self.submissions[event.id]["start_revocable"] &= event.outcome is interface.Outcome.UNSTORED
+                self.end(self.submissions[event.id], event.outcome)
             elif isinstance(event, interface.CallRequested):
-                self.subs[event.id].update(at="at call", called=False)
+                self.submissions[event.id].update(state="awaiting_call", call_made=False)
             elif isinstance(event, interface.CallEnded):
                 done = event.outcome is interface.Outcome.DONE
                 proved = event.outcome in (
@@ -115,109 +116,137 @@
                     interface.Outcome.UNREACHED,
                     interface.Outcome.MOOT,
                 )
-                self.subs[event.id].update(at="running" if done else "at call", unrun=proved)
-                self.end_call(self.subs[event.id], 0.0 if done or proved else self.settings.call_linger)
+                self.submissions[event.id].update(
+                    state="running" if done else "awaiting_call", call_not_executed=proved
+                )
+                self.end_call(
+                    self.submissions[event.id], 0.0 if done or proved else self.settings.call_linger
+                )
             elif isinstance(event, interface.DrainStarted):
-                self.leave, self.stop = now, now + event.time_left
+                self.drain_started_at, self.stop_at = now, now + event.time_left
         self.timers = [timer for timer in self.timers if timer > now]
-        actions = self.rules.decide(now, list(events))
+        actions = self.controller.decide(now, list(events))
         for action in actions:
             self.act(action)
-        self.sent += actions
+        self.all_actions += actions
         self.check()
         return actions
 
-    def end_call(self, sub, linger):
+    def end_call(self, record, linger):
         """End a call; the dependency works on it for `linger` seconds more at most."""
-        call = self.calls[sub["call"]]
+        call = self.calls[record["call_index"]]
         call[1] = min(call[1], self.now + linger)
 
-    def end(self, sub, outcome):
+    def end(self, record, outcome):
         """End an execution in the model."""
         if outcome is interface.Outcome.UNSTORED:  # it never began, so what the start recorded is undone
-            self.executed.remove((sub["event"].subject, sub["reached"]))
-            sub.update(at="held" if sub["owed"] else "over", ran=False, fresh=False)
-        elif outcome is interface.Outcome.CANCELLED and sub["owed"]:
-            sub["at"] = "paused" if self.settings.interruption is interface.Interruption.SUSPEND else "held"
+            self.executions.remove((record["event"].subject, record["arrived_at"]))
+            record.update(
+                state="queued" if record["awaits_answer"] else "finished",
+                has_started=False,
+                start_revocable=False,
+            )
+        elif outcome is interface.Outcome.CANCELLED and record["awaits_answer"]:
+            record["state"] = (
+                "suspended" if self.settings.interruption is interface.Interruption.SUSPEND else "queued"
+            )
         else:
-            sub.update(at="over", owed=False)
+            record.update(state="finished", awaits_answer=False)
 
     def act(self, action):
         """Check an action against the model, and change the model by it."""
         if isinstance(action, interface.SetTimer):
             self.timers.append(self.now + action.delay)
-        sub = self.subs.get(getattr(action, "id", None))
-        assert sub is not None or not hasattr(action, "id"), f"acts on an unknown id: {action}"
-        if sub is None or sub["at"] == "over":
+        record = self.submissions.get(getattr(action, "id", None))
+        assert record is not None or not hasattr(action, "id"), f"acts on an unknown id: {action}"
+        if record is None or record["state"] == "finished":
             return
-        workload = sub["workload"]
+        workload = record["workload"]
         if isinstance(action, interface.Start):
-            assert sub["at"] in ("held", "paused") and sub["owed"], action
-            assert not (sub["ran"] and sub["at"] == "held" and workload.effect is not IDEMPOTENT), "run twice"
-            if self.leave is not None:
-                assert sub["reached"] <= self.leave + self.settings.drain_grace, "run after the grace"
-            if workload.effect is DEDUPLICATED and not sub["ran"]:
-                key = sub["event"].subject
+            assert record["state"] in ("queued", "suspended") and record["awaits_answer"], action
+            assert not (
+                record["has_started"] and record["state"] == "queued" and workload.effect is not IDEMPOTENT
+            ), "run twice"
+            if self.drain_started_at is not None:
+                assert record["arrived_at"] <= self.drain_started_at + self.settings.drain_grace, (
+                    "run after the grace"
+                )
+            if workload.effect is DEDUPLICATED and not record["has_started"]:
+                key = record["event"].subject
                 assert all(
-                    other_key != key or sub["reached"] - arrived_at > workload.deduplication_window
-                    for other_key, arrived_at in self.executed
+                    other_key != key or record["arrived_at"] - arrived_at > workload.deduplication_window
+                    for other_key, arrived_at in self.executions
                 ), "effect twice"
-                assert self.entries.get(key, (0,))[0] >= sub["reached"] + workload.deduplication_window, (
-                    "run without an entry"
-                )
-                assert not sub["event"].deduplication_ready_in, "run though its key can't be kept"
-                self.executed.append((key, sub["reached"]))
-                sub["fresh"] = True
-            sub.update(at="running", ran=True)
+                assert (
+                    self.stored_keys.get(key, (0,))[0] >= record["arrived_at"] + workload.deduplication_window
+                ), "run without an entry"
+                assert not record["event"].deduplication_ready_in, "run though its key can't be kept"
+                self.executions.append((key, record["arrived_at"]))
+                record["start_revocable"] = True
+            record.update(state="running", has_started=True)
         elif isinstance(action, interface.Reject):
-            assert sub["owed"] and not (sub["ran"] and workload.effect is not IDEMPOTENT), (
-                "rejected after it ran"
-            )
-            if sub["at"] == "joined":
-                assert not self.subs[sub["event"].duplicate_of]["ran"], (
+            assert record["awaits_answer"] and not (
+                record["has_started"] and workload.effect is not IDEMPOTENT
+            ), "rejected after it ran"
+            if record["state"] == "coalesced":
+                assert not self.submissions[record["event"].duplicate_of]["has_started"], (
                     "rejected a duplicate of one that has run"
                 )
-            sub.update(owed=False, at="over" if sub["at"] in ("held", "paused", "joined") else "spent")
+            record.update(
+                awaits_answer=False,
+                state="finished" if record["state"] in ("queued", "suspended", "coalesced") else "abandoned",
+            )
         elif isinstance(action, interface.Fail):
-            assert sub["owed"], "second answer"
-            if sub["at"] == "calling":
-                self.end_call(sub, self.settings.call_linger)
-            sub.update(owed=False, at="over" if sub["at"] in ("held", "paused", "joined") else "spent")
+            assert record["awaits_answer"], "second answer"
+            if record["state"] == "calling":
+                self.end_call(record, self.settings.call_linger)
+            record.update(
+                awaits_answer=False,
+                state="finished" if record["state"] in ("queued", "suspended", "coalesced") else "abandoned",
+            )
         elif isinstance(action, interface.Interrupt):
             assert self.settings.interruption is not interface.Interruption.UNSUPPORTED
         elif isinstance(action, interface.Call):
-            assert sub["at"] == "at call" and action.timeout > 0
-            assert not sub["called"] or sub["unrun"] or workload.effect is IDEMPOTENT, "call repeated"
-            sub.update(at="calling", called=True, call=len(self.calls))
+            assert record["state"] == "awaiting_call" and action.timeout > 0
+            assert not record["call_made"] or record["call_not_executed"] or workload.effect is IDEMPOTENT, (
+                "call repeated"
+            )
+            record.update(state="calling", call_made=True, call_index=len(self.calls))
             self.calls.append([self.now, self.now + action.timeout + self.settings.call_linger])
         elif isinstance(action, interface.BypassCall):
-            assert sub["at"] == "at call" and workload.degraded_value_share > 0
-            sub["at"] = "running"
+            assert record["state"] == "awaiting_call" and workload.degraded_value_share > 0
+            record["state"] = "running"
         elif isinstance(action, interface.StoreKey) and workload.effect is DEDUPLICATED:
-            self.entries[sub["event"].subject] = (self.now + action.lifetime, action.id)
+            self.stored_keys[record["event"].subject] = (self.now + action.lifetime, action.id)
         elif isinstance(action, interface.Forget):
-            if self.entries.get(sub["event"].subject, (0, 0))[1] == action.id:
-                assert not sub["ran"], "forgot the key of one that has run"
-                del self.entries[sub["event"].subject]
+            if self.stored_keys.get(record["event"].subject, (0, 0))[1] == action.id:
+                assert not record["has_started"], "forgot the key of one that has run"
+                del self.stored_keys[record["event"].subject]
         elif isinstance(action, interface.AnswerFromOriginal):
-            assert sub["event"].duplicate_of is not None
-            sub["at"] = "joined"
+            assert record["event"].duplicate_of is not None
+            record["state"] = "coalesced"
 
-    def first_try(self, key, reached):
+    def first_try(self, key, arrived_at):
         """Return the id of the submission that a new one with this key duplicates, or None."""
-        valid_until, first = self.entries.get(key, (0.0, None))
-        return first if valid_until > reached else None
+        valid_until, first = self.stored_keys.get(key, (0.0, None))
+        return first if valid_until > arrived_at else None
 
     def check(self):
         """Check what has to hold after each batch: deadlines, memory, concurrency and calls."""
-        alive = [sub for sub in self.subs.values() if sub["at"] != "over"]
-        for sub in alive:
-            assert not sub["owed"] or self.now <= sub["due"] + self.settings.answer_slack, "answer overdue"
-            assert not sub["owed"] or self.stop is None or self.now < self.stop, "unanswered at the stop"
-        memory = sum(until > self.now for until, _ in self.entries.values()) * self.settings.key_memory
-        for sub in alive:
-            memory_factor = 1.0 if sub["at"] in ("held", "joined") else self.settings.run_memory_factor
-            memory += sub["event"].memory * memory_factor
+        alive = [record for record in self.submissions.values() if record["state"] != "finished"]
+        for record in alive:
+            assert (
+                not record["awaits_answer"] or self.now <= record["deadline"] + self.settings.answer_slack
+            ), "answer overdue"
+            assert not record["awaits_answer"] or self.stop_at is None or self.now < self.stop_at, (
+                "unanswered at the stop"
+            )
+        memory = sum(until > self.now for until, _ in self.stored_keys.values()) * self.settings.key_memory
+        for record in alive:
+            memory_factor = (
+                1.0 if record["state"] in ("queued", "coalesced") else self.settings.run_memory_factor
+            )
+            memory += record["event"].memory * memory_factor
         assert memory <= self.settings.memory, "out of memory"
         speed = 1.0
         if self.settings.starts_cold:
@@ -226,7 +255,7 @@
                 self.settings.cold_start_speed
                 + (1 - self.settings.cold_start_speed) * self.now / self.settings.warm_up_time,
             )
-        running = sum(sub["at"] in ("running", "spent") for sub in alive)
+        running = sum(record["state"] in ("running", "abandoned") for record in alive)
         assert running <= self.settings.cores * (1 + (self.settings.max_concurrency_per_core - 1) * speed), (
             "too many running"
         )
@@ -282,7 +311,7 @@
         )
         self.settings = settings(**changes)
         self.workloads = {workload.name: index for index, workload in enumerate(self.settings.workloads)}
-        self.tenants, self.passes_wait = (
+        self.tenants, self.passes_time_left = (
             {tenant.name: index for index, tenant in enumerate(self.settings.tenants)},
             True,
         )
@@ -396,7 +425,7 @@
         self.invalid_reasons.append(reason)
         self.reject(stream, None)
 
-    def refuse_connection(self, reason):
+    def reject_connection(self, reason):
         self.refused = reason
 
     def deliver(self, stream, load, result):
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -14,7 +14,7 @@
     begin(self)
 def dropping(self, stream, load, result):
     if self.noticed and stream % 3 == 0:
-        self.open.discard(stream)
+        self.open_streams.discard(stream)
     else:
         deliver(self, stream, load, result)
 Connection.noticed, Connection.deliver, GracefulShutdown.begin = False, dropping, noticed"""
--- a/tests/result_store/test_idempotent_requests.py
+++ b/tests/result_store/test_idempotent_requests.py
@@ -15,7 +15,7 @@
 REMEMBERED = [lambda n: interface.StoreKey(n, 8.0), interface.Start]
 
 
-def over(call, end=RunResult.DONE, result=b"result", number=1):
+def run_ended(call, end=RunResult.DONE, result=b"result", number=1):
     return executor_protocol.RunEnded(number, call, end, 0.1, result)
 
 
@@ -52,7 +52,7 @@
         return [line["rid"] for line in self.ends.commands if line["t"] == kind]
 
 
-def codes(caller):
+def answer_codes(caller):
     return [code for _, code, _ in caller.answers]
 
 
@@ -64,7 +64,7 @@
     assert world.commands() == []
     world.disk()
     assert world.commands() == [call]
-    world.ends.turn(over(call))
+    world.ends.turn(run_ended(call))
     assert world.caller.answers == [(1001, DELIVERED, b"result")], "the answer does not wait for the disk"
 
 
@@ -96,7 +96,7 @@
         world.disk()
         assert world.commands() == [call]
         if at != "between start and end":
-            world.ends.turn(over(call))
+            world.ends.turn(run_ended(call))
             if at == "between result and answer":
                 world.store.worker.step()  # durable; take the answer as one that a broken connection lost
     world.restart()
@@ -110,7 +110,7 @@
         return
     assert world.ends.events[-1].duplicate_of == 0 and world.commands() == []
     world.disk()
-    assert codes(caller) == [answered] and (answered != DELIVERED or caller.answers[0][2] == b"result")
+    assert answer_codes(caller) == [answered] and (answered != DELIVERED or caller.answers[0][2] == b"result")
     world.ends.turn()
     outcome = interface.Outcome.DONE if answered == DELIVERED else interface.Outcome.ERROR
     assert (
@@ -126,8 +126,8 @@
         world.arrive(caller=caller, do=[interface.AnswerFromOriginal])
         assert world.ends.events[-1].duplicate_of == first
     assert world.commands() == [call]
-    world.ends.turn(over(call))
-    assert [codes(caller) for caller in callers] == [[DELIVERED]] * 3
+    world.ends.turn(run_ended(call))
+    assert [answer_codes(caller) for caller in callers] == [[DELIVERED]] * 3
     world.disk()
     world.restart()
     callers = [Caller() for _ in range(3)]
@@ -149,10 +149,12 @@
     world.arrive(caller=callers[1])
     for _ in range(3):
         world.disk()
-    assert [codes(caller) for caller in callers] == [[TURNED_BACK]] * 2 and world.commands() == []
+    assert [answer_codes(caller) for caller in callers] == [[TURNED_BACK]] * 2 and world.commands() == []
     late = Caller()
     world.arrive(mark="other", caller=late)
-    assert codes(late) == [TURNED_BACK] and 0.9 <= late.retry_after <= 1.0, "the disk rests for a second"
+    assert answer_codes(late) == [TURNED_BACK] and 0.9 <= late.retry_after <= 1.0, (
+        "the disk rests for a second"
+    )
     for _ in range(20):  # the disk takes writes again
         world.machine.pass_time(0.1)
         world.store.maintain()
@@ -178,7 +180,7 @@
     world.restart()
     late = Caller()
     world.arrive(caller=late, do=[interface.AnswerFromOriginal])
-    assert codes(late) == [WRITTEN_OFF], "the second one ran"
+    assert answer_codes(late) == [WRITTEN_OFF], "the second one ran"
 
 
 def test_shutdown_with_pending_intents_answers_all_and_executes_none():
@@ -207,8 +209,8 @@
     _, file = world.arrive(workload="file", mark=None, do=[interface.Start])
     world.restart()
     world.ends.turn(
-        over(call, result=b"from before"),
-        over(file, number=2),
+        run_ended(call, result=b"from before"),
+        run_ended(file, number=2),
         executor_protocol.GaugesReported(REPLAY_END, ()),
     )
     assert world.ends.counts["executor.run_of_none"] == 1, (
@@ -227,31 +229,31 @@
     world.restart()
     world.ends.turn(executor_protocol.CallRequest(1, call, b"ask"))
     assert world.commands("KILL") == [call] and world.ends.calls == []
-    world.ends.turn(over(call, RunResult.STOPPED, b"", 2))
+    world.ends.turn(run_ended(call, RunResult.STOPPED, b"", 2))
     caller = Caller()
     world.arrive(caller=caller, do=[interface.AnswerFromOriginal])
     world.disk()
-    assert codes(caller) == [WRITTEN_OFF]
+    assert answer_codes(caller) == [WRITTEN_OFF]
 
 
 def test_unreadable_result_fails_and_late_result_is_given_up():
     world = World()
     _, call = world.arrive()
-    world.ends.turn(over(call))
+    world.ends.turn(run_ended(call))
     world.disk()
     world.restart()
     world.machine.files.fail["read"] = (1, 5)
     caller = Caller()
     world.arrive(caller=caller, do=[interface.AnswerFromOriginal])
     world.disk()
-    assert codes(caller) == [WRITTEN_OFF]
+    assert answer_codes(caller) == [WRITTEN_OFF]
     world.store.worker.paused = True  # a disk that hangs
     caller = Caller()
     number, _ = world.arrive(caller=caller, do=[interface.AnswerFromOriginal])
     world.ends.turn(messages.DeferredEvent(interface.TimerFired(0, None)), actions=[interface.Fail(number)])
-    assert codes(caller) == [WRITTEN_OFF]
+    assert answer_codes(caller) == [WRITTEN_OFF]
     world.disk()
-    assert codes(caller) == [WRITTEN_OFF], "one answer"
+    assert answer_codes(caller) == [WRITTEN_OFF], "one answer"
 
 
 def test_failing_admission_controller_leaves_store_consistent():
@@ -278,7 +280,7 @@
     for mark in ("a", "b"):
         ends.arrive("book", Caller(), idempotency_key=mark)
     ends.arrive("book", caller, idempotency_key="c")
-    assert codes(caller) == [TURNED_BACK] and caller.retry_after == 1.0 and len(ends.commands) == 2
+    assert answer_codes(caller) == [TURNED_BACK] and caller.retry_after == 1.0 and len(ends.commands) == 2
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -317,14 +319,14 @@
             elif line["t"] == "KILL" and line["rid"] in running:
                 running.pop(line["rid"])
                 notices += 1
-                ends.turn(over(line["rid"], RunResult.STOPPED, b"", notices))
+                ends.turn(run_ended(line["rid"], RunResult.STOPPED, b"", notices))
         seen = len(ends.commands)
         for call in sorted(running):
             if chance.random() < 0.1:
                 mark = running.pop(call)
                 notices += 1
                 results[mark] = b"done " + mark.encode()
-                ends.turn(over(call, RunResult.DONE, results[mark], notices))
+                ends.turn(run_ended(call, RunResult.DONE, results[mark], notices))
         for caller, mark in streams.values():
             assert len(caller.answers) <= 1
             for _, code, body in caller.answers:
--- a/tests/transport/test_transport.py
+++ b/tests/transport/test_transport.py
@@ -255,7 +255,7 @@
         ledger.call(1, 4, "ref", 0.3, b"ask")
         (finished,) = box.take_all(10.0)
         assert (finished.number, finished.attempt, finished.outcome) == (1, 4, outcome)
-        assert finished.body == (b"ok" if outcome is Outcome.DONE else b"") and not ledger.out
+        assert finished.body == (b"ok" if outcome is Outcome.DONE else b"") and not ledger.tasks
         assert len(received) == 1 and received[0].endswith(b"ask")
         assert b"X-Txn-Ref: ref\r\nX-Limit-Ms: 300\r\n" in received[0]
 
@@ -317,7 +317,7 @@
         ledger.call(1, 1, "a", 5.0, b"")
         scheduler.sleep(0.05)
         ledger.cancel(1)
-        assert not box.take_all(0.05) and not ledger.out and len(ends) == 1
+        assert not box.take_all(0.05) and not ledger.tasks and len(ends) == 1
 
     run(scheduler, test)
 
@@ -384,7 +384,7 @@
         ]
         (down,) = [message for message in got if isinstance(message, messages.ExecutorDisconnected)]
         assert (down.arrived >= moved_at) is settles
-        assert b'"no":1' in received_new[0] and b"one\n" in b"".join(received_old) and link.up
+        assert b'"no":1' in received_new[0] and b"one\n" in b"".join(received_old) and link.connected
 
     run(scheduler, test)
 
@@ -396,13 +396,13 @@
     link = ExecutorClient(scheduler, old, SeededRandom(1), box.put, lambda *_: None)
 
     def test():
-        while not link.up:
+        while not link.connected:
             scheduler.sleep(0.01)
         link.set_address(second)
         while link.replacement is None:  # the handover then waits for gauges that do not come
             scheduler.sleep(0.001)
         link.set_address(third)
-        while not link.up or link.stream.sock.getpeername() != third:
+        while not link.connected or link.stream.sock.getpeername() != third:
             scheduler.sleep(0.01)
         assert not received, "nothing was sent to the address in between"
 
@@ -485,7 +485,7 @@
         messages.ConnectionClosed,
     ]
     assert [type(message) for message in put] == kinds
-    assert put[-1].streams == {2} and not made.open and made.stream.closed
+    assert put[-1].streams == {2} and not made.open_streams and made.stream.closed
 
 
 def settle(scheduler):
@@ -508,7 +508,11 @@
     first, put = connection(scheduler)
     made = open_connection(scheduler, bad + submission(8), gateways=first.gateways)
     settle(scheduler)
-    assert made.stream.data == frame(8, stream, b"\x00\x00") and made.open == {8} and not made.stream.closed
+    assert (
+        made.stream.data == frame(8, stream, b"\x00\x00")
+        and made.open_streams == {8}
+        and not made.stream.closed
+    )
     assert [type(message) for message in put] == [messages.SubmissionReceived]
 
 
@@ -522,7 +526,7 @@
 def test_submission_cancelled_in_the_same_read_is_not_passed_on(scheduler):
     made, put = connection(scheduler, b"".join(submission(n) + frame(9, n) for n in range(1, 300)))
     settle(scheduler)
-    assert not put and not made.stream.data and not made.open
+    assert not put and not made.stream.data and not made.open_streams
 
 
 def test_submissions_over_the_limit_are_rejected_and_answers_make_room(scheduler):
@@ -530,10 +534,10 @@
     submissions = FrameDecoder().feed(b"".join(submission(n) for n in range(1, 35)))
     for one in submissions[:33]:
         made.handle_message(one)
-    assert len(made.open) == 32 and made.stream.data == frame(8, 33, b"\x00\x00")
+    assert len(made.open_streams) == 32 and made.stream.data == frame(8, 33, b"\x00\x00")
     made.answer(5, b"")
     made.handle_message(submissions[33])
-    assert len(made.open) == 32 and 34 in made.open
+    assert len(made.open_streams) == 32 and 34 in made.open_streams
 
 
 @pytest.mark.parametrize(
@@ -657,10 +661,10 @@
     made, _ = connection(scheduler)
     gateways, made.incomplete_since = made.gateways, None
     gateways.idle_timeout, made.idle_since = 0.1, scheduler.clock() - 0.2
-    made.open = {1}
+    made.open_streams = {1}
     gateways.sweep()
     assert not made.stream.data
-    made.open = set()
+    made.open_streams = set()
     gateways.sweep()
     assert made.stream.data == frame(3, 0) and not made.stream.closed
     made.close_at -= 2.0
--- a/valeturn/admission/controller.py
+++ b/valeturn/admission/controller.py
@@ -58,7 +58,7 @@
     CALL_SUCCEEDED,  # event: the call succeeded
     CALL_NOT_EXECUTED,  # event: the call failed and certainly had no effect
     CALL_UNCERTAIN,  # event: the call failed and may have had its effect
-    CALLER_GONE,  # event: nobody waits for the answer any more
+    CALLER_GONE,  # event: the caller no longer waits for the answer
     GIVE_UP,  # decision: answer with a rejection or a failure
     SUSPEND_RUN,  # decision: interrupt the run, to resume it later
     COALESCE,  # decision: answer a duplicate with the original's result
@@ -112,27 +112,27 @@
     Outcome.CANCELLED: CALL_UNCERTAIN,
 }
 
-# Seconds between timer events: under half of the shortest run seen. Each one costs CPU time on every server.
+# Seconds between timer events: under half of the shortest run seen. Each event costs CPU time on all servers.
 TIMER_INTERVAL_S = 0.1
-# The two thresholds of overload mode, in queued, suspended and running submissions per core. Shortest first
-# begins once half a core's worth of them waits and lasts until none has to wait.
+# The two thresholds of overload mode, in queued, suspended and running submissions per core. The mode begins
+# once half as many submissions wait as there are cores, and lasts until none has to wait.
 OVERLOAD_ENTER_PER_CORE, OVERLOAD_LEAVE_PER_CORE = 1.5, 1.0
-# The concurrency limit is multiplied by the first once runs take as many times their baseline as the second
-# says. Both are given by the design.
+# Once runs take SLOWDOWN_FACTOR times their baseline time, the concurrency limit is multiplied by
+# LIMIT_REDUCTION_FACTOR. Both are given by the design.
 LIMIT_REDUCTION_FACTOR, SLOWDOWN_FACTOR = 0.8, 2.0
 # Ratios of the memory: above the first the queue is cut, above the second nothing starts, no key is stored.
 MAX_QUEUE_MEMORY_RATIO, MAX_RUN_MEMORY_RATIO = 0.7, 0.85
-# Predicted times are multiplied by this, as the costs of submissions vary. Values from 1.25 to 1.6 earn the
-# most.
+# Predicted finish times are stretched by this factor, as the costs of submissions vary about their estimates.
+# Factors from 1.25 to 1.6 work well.
 FINISH_TIME_FACTOR = 1.4
-# Mean seconds that submissions wait unread on a stalled server: a few times what reading takes when all cores
-# are busy.
+# A server may be stalled if submissions wait unread for longer than this on average, in seconds: a few times
+# what reading takes when all cores are busy.
 STALL_WAIT_S = 0.5
 # Open connections per core that are no burden; seconds between two uses of a connection, above which there
 # are too many; seconds after which idle connections are closed while there are too many.
 HARMLESS_CONNECTIONS_PER_CORE, CONNECTION_USE_INTERVAL_S, SHORT_IDLE_TIME_S = 10, 2.0, 0.1
-# Ratio of rejected submissions above which reading them costs more than a wrong advertised load does. 0.05
-# raised the advertised load too eagerly.
+# Ratio of rejected submissions above which the advertised load rises: past it, reading submissions only to
+# reject them costs more than an advertised load that is too high. With 0.05 the load rose too eagerly.
 ADVERTISE_REJECTION_RATIO = 0.3
 # Largest number of (caller, workload) pairs whose usual timeout is remembered: enough for some hundred
 # callers at once. The ids of callers may be new for ever, so there has to be a bound.
@@ -141,7 +141,7 @@
 # quarter of its speed rejects three quarters of them by itself.
 MAX_RETRY_RATIO_DEGRADED = 0.75
 # The same for a server that is not degraded: up to here other servers likely have room. At 0.25 callers come
-# to a third more servers; 0.15 and 0.3 are the alternatives.
+# to a third more servers.
 MAX_RETRY_RATIO = 0.25
 # Spares per core (see prune_queue): more than can start within an objective, and few enough to look through
 # at every event.
@@ -209,7 +209,8 @@
             MAX_CALL_BUDGET_RATIO * settings.call_quota * settings.call_quota_window,
             now,
         )
-        # Total time and count of calls that succeeded, or ended after the minimum timeout.
+        # Total seconds and count of calls that succeeded, or ended after the minimum timeout. With a time
+        # constant of 10 s the mean follows a change of the dependency, and single calls move it little.
         self.recent_calls = DecayingSums(10.0, 2, now)
         # About the median time of the last few calls, in seconds; those that timed out count as above it.
         self.median_call_time = 0.0
@@ -232,7 +233,7 @@
         self.tenant_arrivals = DecayingSums(3.0, len(settings.tenants), now)
         # Submissions read, submissions rejected, seconds spent unread. 3 s hold some dozen of them.
         self.arrivals = DecayingSums(3.0, 3, now)
-        # What was reported last; an idle time of 0 stands for the longest one.
+        # What was reported last; an idle time of 0 seconds stands for no limit.
         self.advertised_load, self.healthy, self.idle_time = 0.0, True, 0.0
         # (caller, workload) -> the timeout seen most often and its votes; a shorter one shows a later try.
         self.usual_timeouts = {}
@@ -292,13 +293,15 @@
         retry, in those of its tenant. The caller's usual timeout is updated by it.
         """
         workload_settings = self.settings.workloads[event.workload]
+        # Hints under 1 ms of a core count as 1 ms, so that the logarithm stays bounded.
         log_hint = math.log(max(1e-3, event.cost_hint)) if event.cost_hint else None
         expected_cost, remaining_time = (
             self.estimate_cost(event.workload, log_hint),
             workload_settings.timeout - event.waited if event.time_left is None else event.time_left,
         )
         # The age of a retry since its first try is what its timeout lacks of its caller's usual one. The
-        # usual one is found by majority vote, as single timeouts may differ; 20 ms apart they count as equal.
+        # usual one is found by majority vote, as single timeouts may differ; those under 20 ms apart count as
+        # equal. It holds 20 votes at most, so that a lasting change of the timeout replaces it in time.
         age = 0.0
         if event.time_left is not None:
             caller_timeout = remaining_time + event.waited
@@ -406,7 +409,7 @@
     def is_rejected_by_reduction(self, submission, rank):
         """Return whether the present level of reduced service rejects a new submission; changes nothing.
 
-        Duplicates that were coalesced are not asked about.
+        It is not called for duplicates that were coalesced.
         """
         reduction = self.service_reduction
         if rank >= 1 - reduction.exempt_share:
@@ -456,6 +459,7 @@
                 if self.stop_at is None
                 else min(submission.deadline, self.stop_at - self.deadline_margin)
             )
+            # Half of the time after the deadline in which an answer still counts; none before a stop.
             slack = 0.0 if self.stop_at else 0.5 * self.settings.answer_slack
             if submission.awaits_answer and self.now + self.deadline_margin >= answer_by + slack:
                 self.transition(submission, GIVE_UP)
@@ -560,7 +564,7 @@
             self.actions.append(Interrupt(submission.id))
 
     def apply_caller_gone(self, submission):
-        """Interrupt a run that nobody waits for, except where a duplicate may still ask for its result."""
+        """Interrupt the run of a caller that is gone, unless a duplicate may still need its result."""
         duplicate_may_come = (
             self.settings.workloads[submission.workload].effect is Effect.DEDUPLICATED
             and self.now <= submission.objective_deadline
@@ -569,7 +573,10 @@
             self.actions.append(Interrupt(submission.id))
 
     def apply_record_progress(self, submission):
-        """Record the work that a suspended run has done, at most 0.9 of its expected cost."""
+        """Record the work that a suspended run has done, at most 0.9 of its expected cost.
+
+        A tenth remains, so that a run whose cost was underestimated does not count as free of work.
+        """
         submission.work_done = min(
             0.9 * submission.expected_cost,
             submission.work_done + (self.now - submission.running_since) * self.current_speed,
@@ -578,6 +585,7 @@
     def apply_request_call(self, submission):
         """Begin to measure the time at this call, with its wait for the budget, and reset its attempts."""
         submission.call_attempts = 0
+        # The end of the call adds its moment, which leaves the difference. Until then the sum is negative.
         submission.time_at_calls -= self.now
 
     def apply_start_call(self, submission):
@@ -599,6 +607,7 @@
             max(min_timeout, min(max_timeout, self.call_budget / 2))
             * self.service_reduction.call_timeout_share
         )
+        # At least 10 ms, even where the answer is due sooner.
         timeout = max(0.01, min(answer_by - self.now, timeout))
         submission.call_attempts += 1
         submission.reserved_budget = timeout + self.settings.call_linger
@@ -623,6 +632,7 @@
         call that is never answered moves the median by one step only; it would dominate a mean of so few.
         """
         total_time, count = self.recent_calls.read(self.now)
+        # Where next to no recent call is known, 25 ms are assumed.
         return max(total_time / count if count > 0.1 else 0.025, self.median_call_time)
 
     def min_call_timeout(self):
@@ -704,6 +714,7 @@
             else 0.5
         )
         slope = min(1.0, max(0.0, slope))
+        # Before any run, a submission without a hint is assumed to cost 0.1 s of a core.
         mean = sum_x / count if count > 0 else log_hint if log_hint is not None else math.log(0.1)
         return math.exp(mean + slope * ((mean if log_hint is None else log_hint) - mean))
 
@@ -717,16 +728,19 @@
             self.baseline_runs.read(self.now),
             self.recent_runs.read(self.now),
         )
+        # In both speeds the prior weighs as much as half a second of runs.
         self.baseline_speed = (sum(baseline_sums[0::2]) + 0.5 * self.warm_up_speed()) / (
             sum(baseline_sums[1::2]) + 0.5
         )
         run_time = sum(recent_sums[1::4])
+        # A run is overdue after twice its expected time at the baseline speed; the excess counts.
         for submission in self.submissions.values():
             if submission.state in STATES_ON_CORES:
                 run_time += max(
                     0.0,
                     self.now - submission.running_since - 2 * submission.expected_cost / self.baseline_speed,
                 )
+        # The speed is a divisor, so it never falls to 0.
         self.current_speed = max(
             0.02, (sum(recent_sums[0::4]) + 0.5 * self.baseline_speed) / (run_time + 0.5)
         )
@@ -765,12 +779,15 @@
         baseline the limit is cut, at most once a second. If cores idle while submissions are queued it rises
         by one.
         """
+        # At least 1 ms of time and as much work, so that no quotient of sums divides by 0. The time at calls
+        # is negative if the run was abandoned during its call, and counts as 0 then.
         run_time = max(1e-3, self.now - submission.running_since - max(0.0, submission.time_at_calls))
         work = max(1e-3, submission.expected_cost - submission.work_done)
         self.recent_runs.add(
             self.now, 4 * submission.workload, work, run_time, max(0.0, submission.time_at_calls), 1
         )
         if not submission.work_done:
+            # Run times under 5 ms count as 5 ms: their logarithms would dominate the regression.
             log_cost, log_run_time = (
                 submission.log_hint if submission.log_hint is not None else math.log(run_time),
                 math.log(max(5e-3, run_time)),
@@ -809,6 +826,7 @@
         second and lets the limit overshoot.
         """
         readings = self.gauges
+        # A share of the cores; above 0.9 they count as busy.
         idle_on_average = readings.busy is not None and readings.busy < 0.9
         return self.limit_reached and (
             idle_on_average if readings.runnable is None else readings.runnable < self.settings.cores
@@ -826,10 +844,12 @@
             value *= within_allowance + (1 - within_allowance) * self.settings.over_allowance_value
         if submission.is_retry and not submission.timeout_known:
             value *= 0.5  # of unknown age: it is assumed that half of them can no longer meet their objective
+        # Costs under 1 ms of a core count as 1 ms, so that the quotient stays bounded.
         return value if self.settings.value_per_unit_of_work else value / max(1e-3, submission.expected_cost)
 
     def share_within_allowance(self, tenant):
         """Return the share of what a tenant likely sends that is within its allowance, 1.0 at most."""
+        # First tries per second; at least 1e-3, as it is a divisor.
         rate = self.tenant_arrivals.read(self.now)[tenant] / self.tenant_arrivals.time_constant
         return min(
             1.0,
@@ -936,6 +956,7 @@
             self.recent_runs.read(self.now),
         )
         total_speed = speed * max(self.concurrency_limit, self.settings.cores)
+        # A run that is overdue counts with a tenth of its expected cost, as its end is still to come.
         work_ahead = sum(
             max(0.1 * submission.expected_cost, self.remaining_cost(submission))
             for submission in self.submissions.values()
@@ -958,6 +979,7 @@
                 (self.priority(submission), -submission.expected_cost),
             )
             time_at_calls, count = recent_sums[4 * submission.workload + 2 : 4 * submission.workload + 4]
+            # Seconds at calls per run, once at least half a run is left in the decaying sums.
             call_time = time_at_calls / count if count > 0.5 and not self.can_bypass_call(submission) else 0.0
             while True:
                 finishes_in = (
@@ -1035,6 +1057,7 @@
         if queued and runs and suspended * 4 < self.settings.cores:
             largest = max(runs, key=self.remaining_cost)
             remaining = self.remaining_cost(largest)
+            # It likely meets its objective if twice its remaining time and half a second more fit in.
             if (
                 queued[0].expected_cost < 0.25 * remaining
                 and self.now + 2 * remaining / self.current_speed + 0.5 < largest.objective_deadline
@@ -1113,6 +1136,7 @@
         """
         received, rejected, _ = self.arrivals.read(self.now)
         rise = rejected / received - ADVERTISE_REJECTION_RATIO if received > 1 else -ADVERTISE_REJECTION_RATIO
+        # The load moves by 0.1 per second at most, if the ratio is 0.2 or more off ADVERTISE_REJECTION_RATIO.
         load = min(
             0.5, max(0.0, self.advertised_load + 0.1 * TIMER_INTERVAL_S * max(-1.0, min(1.0, 5 * rise)))
         )
@@ -1129,7 +1153,8 @@
         speed. This guards against slow, hung and frozen machines; overload alone does not slow runs so much.
         It does harm where all servers stall at once.
         """
-        # The 0.2 lets a server that is sent nothing more become healthy again.
+        # Received submissions and their waiting time decay alike, so that their quotient would never change
+        # on a server that receives nothing more. The added 0.2 submissions let it become healthy again.
         received, _, waited = self.arrivals.read(self.now)
         healthy = waited <= STALL_WAIT_S * (received + 0.2) or not self.runs_are_slow()
         if healthy != self.healthy and self.stop_at is None:
--- a/valeturn/admission/interface.py
+++ b/valeturn/admission/interface.py
@@ -90,7 +90,7 @@
     key_memory: float = 0.0  # kilobytes that each stored key takes
     interruption: Interruption = Interruption.UNSUPPORTED  # what the executor can do with a started run
     load_advertisement: LoadAdvertisement = LoadAdvertisement.DISABLED  # what callers do with the load value
-    tick: float = 0.0  # seconds between two moments at which the host can act: deadlines allow for it
+    tick: float = 0.0  # seconds; shortest time between two batches of events, and so between two decisions
     answer_slack: float = 0.0  # seconds after a submission's timeout in which an answer still counts
     drain_grace: float = 0.0  # seconds after DrainStarted: what reaches the machine later must not be started
     max_concurrency_per_core: float = 1.0  # running submissions per core that a warm server survives
@@ -119,7 +119,7 @@
 
 
 class Arrived(NamedTuple):
-    """A submission has been read. It is owed one final answer, unless its caller goes first."""
+    """A submission has been read. It needs one final answer, unless its caller is gone before."""
 
     id: int  # the new submission; a number not used before
     workload: int  # index into the settings
@@ -127,10 +127,10 @@
     waited: float = 0.0  # seconds since it reached the machine
     rank: float = 0.0  # importance, from 0 up to but not including 1
     is_retry: bool = False  # the caller has submitted the same work before
-    subject: str | None = None  # record that the work reads or changes, where the submission names it
+    subject: str | None = None  # what an idempotent (read) submission is about; writes have none
     caller: int = 0  # number of the caller
     memory: float = 0.0  # kilobytes that it takes while it is queued
-    time_left: float | None = None  # seconds until its caller gives up; None: the caller does not tell
+    time_left: float | None = None  # seconds until its caller gives up; None: not known
     duplicate_of: int | None = None  # id of the submission that it repeats, 0 where only the store knows it
     cost_hint: float | None = None  # seconds of one core that the caller estimates for the work
     deduplication_ready_in: float = 0.0  # seconds until its key could be stored; 0: now
@@ -284,7 +284,7 @@
     """Ask for a `TimerFired` event."""
 
     delay: float  # seconds from now
-    timer: int  # returned in the event, to tell timers apart
+    timer: int  # returned in the event, to distinguish timers
 
 
 class Trace(NamedTuple):
--- a/valeturn/admission/settings.py
+++ b/valeturn/admission/settings.py
@@ -94,7 +94,7 @@
         settings: The settings of the admission controller.
         workloads: The indices of the workloads in the settings, by name.
         tenants: The indices of the tenants in the settings, by name.
-        passes_wait: Whether the controller is given the time until a caller gives up.
+        passes_time_left: Whether events of arrivals contain the seconds until the caller gives up.
         gauge_names: For each gauge that the executor reports, in its order, the field of interface.Gauges;
             None for one that the controller does not use.
     """
@@ -135,7 +135,7 @@
             for tenant in profile.sections("tenants")
         ]
         self.tenants = {tenant.name: index for index, tenant in enumerate(tenants)}
-        self.passes_wait = bool(domain.get("passes_deadline", False))
+        self.passes_time_left = bool(domain.get("passes_deadline", False))
         self.gauge_names = [GAUGES.get(name) for name in domain.list("gauges")]
         max_retry_after = allowed.seconds("max_retry_after_ms")
         self.settings = interface.Settings(
--- a/valeturn/dispatch/call_quota.py
+++ b/valeturn/dispatch/call_quota.py
@@ -13,7 +13,7 @@
     """Turns changes of the quota into events, and the use of calls into the demand for quota."""
 
     def __init__(self, available):
-        """`available()` returns how many calls this server may have out at this moment."""
+        """`available()` returns how many calls this server may have in progress now."""
         self.available, self.reported, self.demand = available, None, 0.0
 
     def current_event(self):
@@ -30,6 +30,6 @@
         return [] if self.available() == self.reported else [self.current_event()]
 
     def required_calls(self, at_calls):
-        """Return how many calls this server could have out, given the submissions that are at a call now."""
+        """Return how many calls this server could use, given how many submissions are at a call now."""
         self.demand = max(float(at_calls), DEMAND_DECAY * self.demand)
         return self.demand
--- a/valeturn/dispatch/deduplication.py
+++ b/valeturn/dispatch/deduplication.py
@@ -2,7 +2,7 @@
 
 In memory, `deduplication_table` knows what this process accepted. With a result store, executions that ended
 are handed over to the store and leave the table; the store also knows what came before this process. Nothing
-is decided here: the admission controller is only told what is a duplicate of what.
+is decided here: the admission controller only receives the number of the original.
 """
 
 from __future__ import annotations
@@ -185,7 +185,7 @@
     SUCCEEDED, ENDED_WITHOUT_RESULT, NEVER_STARTED = 3, 4, 5
 
     def answer_duplicate(self, pending, result):
-        """Answer a duplicate, if it is not answered yet; the controller is told in the next turn."""
+        """Answer a duplicate, if it is not answered yet; the controller gets its end in the next turn."""
         if pending is None or pending.answered:
             return
         if result is None:
--- a/valeturn/dispatch/deduplication_table.py
+++ b/valeturn/dispatch/deduplication_table.py
@@ -74,6 +74,7 @@
         if self.size_bytes + entry_count * ENTRY_BYTES <= self.max_bytes:
             return 0.0
         first_expiry = min((entry.expires_at for entry in self.by_number.values()), default=now)
+        # At least 0.1 s, so that a caller does not retry at once.
         return max(0.1, first_expiry + self.read_delay_s - now)
 
     def ended(self, number, result):
--- a/valeturn/dispatch/dispatcher.py
+++ b/valeturn/dispatch/dispatcher.py
@@ -19,7 +19,8 @@
 from .executions import Executions
 from .pending_request import IN_DOUBT, NOT_RUNNING, UNSENT, PendingRequest
 
-GAUGES_LEAD_S = 0.005  # seconds before a timer that its gauges are requested: a report took 0.3 ms, 1 at most
+# Seconds before a timer at which its gauges are requested: a report takes 0.3 ms, 1 ms at most.
+GAUGES_LEAD_S = 0.005
 GAUGES_MAX_AGE_S = 0.3  # seconds that gauges count as current: three reports, so that one may be late
 HEALTH_CHECK_TIMEOUT_S = 1.0  # seconds for a deep check: a server that takes longer is not healthy either
 # Deep checks at once: as many as a large fleet's gateways send in one second. Past it the state that the
@@ -36,7 +37,7 @@
 
 
 class Collaborators(NamedTuple):
-    """The other parties that the dispatcher speaks with."""
+    """The clients and servers by which the dispatcher communicates."""
 
     executor: object
     ledger: object
@@ -157,11 +158,11 @@
         )
 
     def turn(self, received):
-        """Run one turn; after a fault of its own, begin anew with a new controller."""
+        """Run one turn; after a fault of its own, restart with a new controller."""
         now = self.scheduler.clock()
         try:
             self.process(now, received)
-        except Exception as error:  # events of this turn may never reach the controller: it begins anew
+        except Exception as error:  # events of this turn may be lost: the controller restarts
             self.controller_failed(now, error)
 
     def process(self, now, received):
@@ -244,7 +245,7 @@
         return self.started_cold and now - self.warm_since < self.settings.warm_up_time
 
     def controller_failed(self, now, error):
-        """Answer all that is pending as truthfully as is known, and go on with a new controller."""
+        """Answer all that is pending as truthfully as is known, and continue with a new controller."""
         self.log("module_failed", fault=error)
         self.count("core.module_failed")
         self.answer_all()
@@ -284,9 +285,9 @@
         self.controller, self.healthy, self.timers, self.stopped = None, False, [], True
 
     def start_controller(self, now, cold, age):
-        """Make a controller and tell it the state of things.
+        """Create a controller and pass it the level, the call quota and a drain that was requested.
 
-        A drain that was requested before is told as of when it was: its grace counts from then.
+        The drain is passed with the time of its request, from which its grace period counts.
 
         Args:
             now: The time of the turn.
@@ -317,7 +318,7 @@
             self.start_controller(now, message.cold, message.age)
 
     def on_submission_received(self, now, message):
-        """Keep a submission as pending and tell the controller, or answer it at once where that can't be."""
+        """Register a submission as pending and pass it to the controller, or answer it at once."""
         submission, connection = message.submission, message.connection
         if self.controller is None or len(self.pending) >= self.max_pending:
             self.count("in.too_early" if self.controller is None else "in.over_all")
@@ -355,7 +356,7 @@
         ] = pending
         time_left = (
             None
-            if submission.timeout is None or not self.decoded_settings.passes_wait
+            if submission.timeout is None or not self.decoded_settings.passes_time_left
             else max(0.0, submission.timeout - waited)
         )
         if self.degradation is not None:
@@ -388,7 +389,7 @@
             self.caller_disconnected(message.connection, stream)
 
     def caller_disconnected(self, connection, stream):
-        """Tell the controller that a caller no longer waits; no answer is needed."""
+        """Notify the controller that a caller no longer waits; no answer is needed."""
         pending = self.by_stream.get((connection, stream))
         if pending is not None and not pending.answered:
             self.count("out.callers_gone")
@@ -400,7 +401,7 @@
                 self.remove(pending)
 
     def on_health_check_requested(self, now, message):
-        """Answer a health check; for a deep one, if the controller wants it so, ask the executor first."""
+        """Answer a health check; for a deep one, ask the executor first if the controller allows it."""
         full = len(self.health_checks) >= MAX_HEALTH_CHECKS
         if self.shallow or not message.deep or self.controller is None or not self.healthy or full:
             self.answer_health_check(message.connection, message.stream, self.healthy)
@@ -436,7 +437,7 @@
         self.events.append(message.event)
 
     def on_drain_requested(self, now, message):
-        """Take the server out of the registry and tell the controller that it is to stop."""
+        """Report to the registry that the server no longer serves, and pass the stop to the controller."""
         self.drain = now, interface.DrainStarted(message.time_left)
         self.registry.set_serving(False)
         self.events.append(self.drain[1])
@@ -522,7 +523,7 @@
         heapq.heappush(self.timers, (now + action.delay, action.timer))
 
     def apply_trace(self, now, action):
-        """Log what the controller wants to be read by people."""
+        """Log a text of the controller."""
         self.log("note", {"text": action.text})
 
     def handler_tables(self):
--- a/valeturn/dispatch/executions.py
+++ b/valeturn/dispatch/executions.py
@@ -22,8 +22,9 @@
     Reply,
 )
 
-# How long an execution in doubt may take to be heard of: so many times its hinted work, and so many seconds
-# on top. Most executions end sooner, and one that does run and is interrupted loses its work.
+# How long an execution in doubt has until its end or its call is reported: so many times its hinted work,
+# and so many seconds on top. Most executions end sooner, and one that does run and is interrupted loses its
+# work.
 IN_DOUBT_WORK_FACTOR, IN_DOUBT_MIN_S = 3.0, 0.1
 
 OUTCOMES = {
@@ -120,8 +121,8 @@
     def resume_executions(self):
         """Send again what may be sent again, after a connection was made and all missed notices were read.
 
-        An execution in doubt that must not run twice is interrupted if it is not heard of in the time that it
-        should take: if no end is reported then, it does not run.
+        An execution in doubt that must not run twice is interrupted if nothing is reported about it in the
+        time that it should take: if no end is reported after the interrupt, it does not run.
         """
         now = self.dispatcher.scheduler.clock()
         for pending in list(self.dispatcher.pending.values()):
@@ -182,11 +183,11 @@
         self.end_execution(pending, outcome, message.duration, message.result)
 
     def end_execution(self, pending, outcome, duration, result):
-        """End an execution: tell the controller, answer the caller, remove it unless it may start again."""
+        """End an execution: notify the controller, answer the caller, remove it unless it may start again."""
         self.dispatcher.count("run." + outcome.name.lower())
         if outcome is interface.Outcome.MOOT:
-            # It ended without running: if it copied the key of another submission, the key must not turn that
-            # one away.
+            # It ended without running: if it copied the key of another submission, that one must not
+            # be rejected because of the key.
             self.dispatcher.deduplication.never_started(pending)
             self.dispatcher.deduplication.table.remove(pending.number)
         self.dispatcher.ledger.cancel(pending.number)
@@ -277,20 +278,20 @@
     def on_command_rejected(self, now, message):
         """End an execution whose start the executor rejects, and close the connection that it came on.
 
-        The executor was never sent what this start is to run, so whoever sent the submission here made it up.
+        The executor has never received the work that this start refers to: the submission is a forgery.
         """
         self.dispatcher.count("executor.bad." + message.command.lower())
         pending = self.dispatcher.by_call_id.get(message.call)
         if pending is not None and message.command == "EXEC" and pending.state not in UNSENT:
             connection = pending.connection
             self.end_execution(pending, interface.Outcome.MOOT, 0.0, None)
-            connection.refuse_connection("made up")
+            connection.reject_connection("made up")
 
     def apply_start(self, now, action):
-        """Start an execution, or tell the controller that it is over already."""
+        """Start an execution, or notify the controller that it has ended already."""
         pending = self.dispatcher.pending.get(action.id)
         if pending is None or pending.answered or pending.state != NOT_RUNNING:
-            if pending is None:  # over already: the controller learns that nothing was started
+            if pending is None:  # ended already: the controller is notified that nothing was started
                 self.dispatcher.put_later(
                     messages.DeferredEvent(interface.Ended(action.id, interface.Outcome.MOOT, 0.0))
                 )
@@ -367,7 +368,7 @@
             self.send_start(pending)
 
     def on_intent_lost(self, number):
-        """Tell the controller that an intent can't be made durable: the submission is not started."""
+        """Notify the controller that an intent can't be made durable: the submission is not started."""
         pending = self.dispatcher.pending.get(number)
         if pending is not None and pending.state == LOGGING_INTENT:
             pending.state = NOT_RUNNING
--- a/valeturn/dispatch/executor_client.py
+++ b/valeturn/dispatch/executor_client.py
@@ -12,7 +12,7 @@
 # its pauses are far shorter than this.
 SILENCE_TIMEOUT_S = 5.0
 # Without a line on a connection that waits for the join to be accepted. An executor may boot for long, but
-# one that has forgotten the connection never answers. A new connection replaces the one before, so trying
+# one that has lost the connection never answers. A new connection replaces the one before, so trying
 # again costs nothing.
 JOIN_TIMEOUT_S = 10.0
 REPLAY_END = "joined"  # token of the gauges asked for after a join: all missed notices come before them
@@ -32,7 +32,7 @@
         self.scheduler, self.address, self.put, self.count = scheduler, address, put, count
         self.backoff = Backoff(random_source, 0.01, 0.5)
         # The connection; whether commands can be sent; number of the last notice; time of the last read.
-        self.stream, self.up, self.last_number, self.last_read_at = None, False, 0, 0.0
+        self.stream, self.connected, self.last_number, self.last_read_at = None, False, 0, 0.0
         self.malformed_after = None  # number of the last notice before a line that could not be read
         self.replacement = None  # the stream to go on with, and its address
         # Whether all that was sent is known to have arrived; whether the executor has accepted the join.
@@ -42,18 +42,18 @@
     def send(self, line):
         """Send a command. False while there is no connection: the caller repeats after the next join whatever
         still matters."""
-        return self.up and self.stream.write(line)
+        return self.connected and self.stream.write(line)
 
     def check(self):
         """Close a connection that has been silent for too long.
 
-        Called whenever gauges were asked for, and periodically while nobody asks.
+        Called whenever gauges were requested, and periodically while none are.
         """
-        connected = self.stream is not None and self.stream.fault is None
-        if connected and self.scheduler.clock() - self.last_read_at > (
-            SILENCE_TIMEOUT_S if self.up else JOIN_TIMEOUT_S
+        is_open = self.stream is not None and self.stream.fault is None
+        if is_open and self.scheduler.clock() - self.last_read_at > (
+            SILENCE_TIMEOUT_S if self.connected else JOIN_TIMEOUT_S
         ):
-            self.count("executor.silent" if self.up else "executor.unwelcomed")
+            self.count("executor.silent" if self.connected else "executor.unwelcomed")
             self.stream.close(StreamFault.TIMED_OUT)
 
     def set_address(self, address):
@@ -83,8 +83,8 @@
             stream.close()  # `run` connects by itself
             return
         self.replacement = stream, address
-        if self.up and old.write(executor_protocol.gauge(HANDOVER_TOKEN)):
-            self.up = False
+        if self.connected and old.write(executor_protocol.gauge(HANDOVER_TOKEN)):
+            self.connected = False
             self.scheduler.call_later(HANDOVER_TIMEOUT_S, old.close, StreamFault.TIMED_OUT)
         else:
             old.close()
@@ -116,7 +116,7 @@
                 finally:
                     self.count("executor.link_ended." + reason)
                     self.stream.close()
-                    self.up = False
+                    self.connected = False
                     if self.joined:
                         self.put(
                             ExecutorDisconnected(
@@ -172,7 +172,7 @@
                 self.put(NoticesLost())
             self.last_number = number
         if isinstance(notice, executor_protocol.JoinAccepted):
-            self.up = self.joined = True
+            self.connected = self.joined = True
             self.put(ExecutorConnected(notice.cold, notice.age))
             self.stream.write(executor_protocol.gauge(REPLAY_END))
         elif isinstance(notice, executor_protocol.GaugesReported) and notice.token == REPLAY_END:
--- a/valeturn/dispatch/gateway_server.py
+++ b/valeturn/dispatch/gateway_server.py
@@ -22,7 +22,7 @@
 # Invalid submissions on one connection before it is closed: gateways send none, and each one costs a turn.
 MAX_FAULTS = 8
 # For a connection's first frame, or the rest of a frame: half of the time within which a client that sends
-# rubbish has to be answered.
+# invalid data has to be answered.
 FRAME_TIMEOUT_S = 1.5
 # For this time a new connection is not closed for want of room, as its first frame is on its way.
 NEW_CONNECTION_GRACE_S = 0.3
@@ -34,15 +34,21 @@
 class Connection:
     """One gateway's connection.
 
-    It is open until `close`, by which every end but that of a broken socket begins: what is open gets its
-    answer, then the stream closes in an orderly way, then comes `end`.
+    It is open until `close`, with which every end begins except that of a broken socket: open submissions are
+    answered, then the stream is closed in an orderly way, then `end` is called.
     """
 
     def __init__(self, gateways, stream):
         self.gateways, self.stream = gateways, stream
         # Streams that await an answer; the phases of the end; invalid submissions so far; answers to what
         # was read after the close had begun.
-        self.open, self.ended, self.closing, self.faults, self.late_answers = set(), False, False, 0, 0
+        self.open_streams, self.ended, self.closing, self.faults, self.late_answers = (
+            set(),
+            False,
+            False,
+            0,
+            0,
+        )
         self.close_at = math.inf  # when this side closes after it has asked the gateway to
         self.linger = CLOSE_TIMEOUT_S  # seconds for the other side to read to the end
         # Stream numbers seen: all up to the first, and those in the set.
@@ -58,8 +64,10 @@
         try:
             try:
                 self.read_all()
-            except Exception:  # a fault of this program: the connection ends, with what is open answered
-                self.refuse_connection("fault")
+            except (
+                Exception
+            ):  # a fault of this program: the connection ends after all open submissions are answered
+                self.reject_connection("fault")
                 raise
             finally:
                 if self.closing and not self.ended:
@@ -132,33 +140,33 @@
         if isinstance(message, frames.Submission):
             count("in.submissions")
             if not self.is_new(message.stream):
-                self.refuse_connection("stream reused")
-            elif message.stream in cancelled:  # nobody waits for an answer any more
+                self.reject_connection("stream reused")
+            elif message.stream in cancelled:  # its caller no longer waits
                 count("in.withdrawn_unread")
-            elif len(self.open) >= MAX_OPEN_SUBMISSIONS:
+            elif len(self.open_streams) >= MAX_OPEN_SUBMISSIONS:
                 self.reject_invalid(message.stream, "over_open")
             elif reason := self.gateways.rejection_reason(message):
                 self.reject_invalid(message.stream, reason)
             else:
-                self.open.add(message.stream)
+                self.open_streams.add(message.stream)
                 put(SubmissionReceived(self, message))
         elif isinstance(message, frames.InvalidSubmission):
             count("in.submissions")
             if self.is_new(message.stream):
                 self.reject_invalid(message.stream, "unreadable")
             else:
-                self.refuse_connection("stream reused")
+                self.reject_connection("stream reused")
         elif isinstance(message, frames.CancelRequest):
             count("in.withdrawals")
-            if message.stream in self.open:
-                self.open.discard(message.stream)
+            if message.stream in self.open_streams:
+                self.open_streams.discard(message.stream)
                 put(SubmissionCancelled(self, message.stream))
         elif isinstance(message, frames.HealthCheckRequest):
             count("in.checks")
             self.idle_since = self.gateways.scheduler.clock()
             put(HealthCheckRequested(self, message.stream, message.deep))
         else:
-            self.refuse_connection(message.reason)
+            self.reject_connection(message.reason)
 
     def is_new(self, stream):
         """Record a stream number as seen; False if it was seen before."""
@@ -179,9 +187,9 @@
         self.reject(stream, None)
         self.faults += 1
         if self.faults >= MAX_FAULTS:
-            self.refuse_connection("faults")
+            self.reject_connection("faults")
 
-    def refuse_connection(self, reason):
+    def reject_connection(self, reason):
         """Close the connection with an error frame, as its other side violates the protocol."""
         if self.closing or self.ended:
             return
@@ -192,7 +200,7 @@
 
     def fail_open(self):
         """Answer everything that is open as failed, since it may have run, and report its callers as gone."""
-        for stream in sorted(self.open):
+        for stream in sorted(self.open_streams):
             self.stream.write(frames.failed(stream))
         self.gateways.report_closed(self)
 
@@ -223,8 +231,8 @@
 
     def answer(self, stream, data):
         """Write an answer, unless the connection is closing: then the stream has already been answered."""
-        self.open.discard(stream)
-        if not self.open:
+        self.open_streams.discard(stream)
+        if not self.open_streams:
             self.idle_since = self.gateways.scheduler.clock()
         if not self.ended and not self.closing:
             self.stream.write(data)
@@ -242,11 +250,11 @@
         self.linger = min(self.linger, timeout)
 
     def close_due(self, now):
-        """Whether the gateway was asked long enough ago to close, and what crossed that is answered."""
-        return not self.open and now > max(self.close_at, self.idle_since + SHORT_CLOSE_TIMEOUT_S)
+        """Whether this side should close: the request to close and the last answer are long enough ago."""
+        return not self.open_streams and now > max(self.close_at, self.idle_since + SHORT_CLOSE_TIMEOUT_S)
 
     def end(self):
-        """Close at once: the other side is gone, has read to the end, or reads too slowly to be answered."""
+        """Close at once: the peer is gone, has read to the end, reads too slowly, or its place is needed."""
         if not self.ended:
             self.ended = True
             self.stream.close()
@@ -287,10 +295,10 @@
             self.report_closed(connection)
 
     def report_closed(self, connection):
-        """Tell the dispatcher that nobody waits for the streams that are open on a connection."""
-        if connection.open:
-            message = ConnectionClosed(connection, frozenset(connection.open))
-            connection.open.clear()
+        """Notify the dispatcher that no caller waits for a connection's open streams, and forget them."""
+        if connection.open_streams:
+            message = ConnectionClosed(connection, frozenset(connection.open_streams))
+            connection.open_streams.clear()
             self.scheduler.spawn(self.put, message, name="ended")
 
     def limit_unsent(self):
@@ -322,11 +330,11 @@
                 and now - connection.incomplete_since > FRAME_TIMEOUT_S
             ):
                 self.count("gateway.half_a_frame" if connection.has_spoken else "gateway.no_frame")
-                connection.refuse_connection("waiting")
+                connection.reject_connection("waiting")
             elif connection.close_due(now):
                 connection.close(connection.linger)
             elif (
-                not connection.open
+                not connection.open_streams
                 and self.idle_timeout
                 and (now - connection.idle_since > self.idle_timeout)
             ):
@@ -344,7 +352,7 @@
         candidates = [
             connection
             for connection in self.connections
-            if not connection.open
+            if not connection.open_streams
             and not connection.closing
             and (
                 now - connection.idle_since
--- a/valeturn/dispatch/ledger_client.py
+++ b/valeturn/dispatch/ledger_client.py
@@ -25,35 +25,35 @@
 
 
 class LedgerClient:
-    """Makes at most `max_calls` calls at a time; the end of each is put as a CallFinished."""
+    """Makes at most `max_calls` calls at a time; each that ends is passed to `put` as a CallFinished."""
 
     def __init__(self, scheduler, address, max_calls, put, count):
         self.scheduler, self.max_calls, self.put, self.count = scheduler, max_calls, put, count
-        self.out = {}  # number of the submission -> task of its call
+        self.tasks = {}  # number of the submission -> task of its call
         self.set_address(address)
 
     def set_address(self, address):
-        """Send new calls to this address; calls that are out are not moved."""
+        """Send new calls to this address; calls in progress keep their connections."""
         self.address, self.host = address, f"{address[0]}:{address[1]}"
 
     def call(self, number, attempt, reference, timeout, body):
         """Start a call for a submission, cancelling its previous one; `timeout` is in seconds."""
         self.cancel(number)
-        if len(self.out) >= self.max_calls:
+        if len(self.tasks) >= self.max_calls:
             self.count("ledger.over_bound")
             finished = CallFinished(number, attempt, Outcome.UNREACHED, 0.0, b"")
             self.scheduler.spawn(self.put, finished, name="bound")
             return
-        self.out[number] = self.scheduler.spawn(
+        self.tasks[number] = self.scheduler.spawn(
             self._run, number, attempt, reference, timeout, body, name="call"
         )
 
     def cancel(self, number):
         """Cancel a submission's call, if there is one; no CallFinished follows.
 
-        The end of the task closes the connection, by which the ledger learns of it.
+        The end of the task closes the connection, which the ledger notices.
         """
-        task = self.out.pop(number, None)
+        task = self.tasks.pop(number, None)
         if task is not None:
             self.count("ledger.given_up")
             self.scheduler.cancel(task)
@@ -74,7 +74,7 @@
             reply = result.body if outcome is Outcome.DONE else b""
         finally:
             # After an exception too: otherwise the run would wait at its call, and use a share of the call
-            # quota, until its deadline. A cancelled call is no longer in `out` and reports nothing.
-            if self.out.get(number) is self.scheduler.current():
-                del self.out[number]
+            # quota, until its deadline. A cancelled call is no longer in `tasks` and reports nothing.
+            if self.tasks.get(number) is self.scheduler.current():
+                del self.tasks[number]
                 self.put(CallFinished(number, attempt, outcome, self.scheduler.clock() - started_at, reply))
--- a/valeturn/dispatch/messages.py
+++ b/valeturn/dispatch/messages.py
@@ -26,7 +26,7 @@
 
 
 class ConnectionClosed(NamedTuple):
-    """A gateway connection ended; nobody waits any longer for what was open on it."""
+    """A gateway connection ended; no caller waits any longer for what was open on it."""
 
     connection: object
     streams: frozenset  # numbers of the streams that were open on it
@@ -71,10 +71,10 @@
     """A call to the ledger ended."""
 
     number: int  # of the submission
-    attempt: int
-    outcome: Outcome
-    duration: float
-    body: bytes
+    attempt: int  # as given to `LedgerClient.call`
+    outcome: Outcome  # how the call ended
+    duration: float  # seconds
+    body: bytes  # the ledger's reply, empty unless the call succeeded
 
 
 class DeferredEvent(NamedTuple):
@@ -84,9 +84,9 @@
 
 
 class DrainRequested(NamedTuple):
-    """The server is to stop after this many seconds."""
+    """The server is about to stop."""
 
-    time_left: float
+    time_left: float  # seconds until the process ends
 
 
 class StopRequested(NamedTuple):
--- a/valeturn/dispatch/turn_pacing.py
+++ b/valeturn/dispatch/turn_pacing.py
@@ -27,8 +27,10 @@
         now = self.clock()
         if now - self.measured_at >= MEASUREMENT_PERIOD_S:
             cpu = self.cpu_time()
+            # A moving average: each measurement counts for a half.
             self.share += 0.5 * (
                 (cpu - self.measured_cpu) / ((now - self.measured_at) * self.cores) - self.share
             )
             self.measured_at, self.measured_cpu = now, cpu
+        # The pause grows linearly and is longest from 95 % of the CPU on.
         return MAX_PAUSE_S * min(1.0, max(0.0, (self.share - UNPACED_CPU_SHARE) / (0.95 - UNPACED_CPU_SHARE)))
--- a/valeturn/protocol/executor.py
+++ b/valeturn/protocol/executor.py
@@ -149,10 +149,12 @@
 
 
 def _body(message):
+    """Return the decoded body, which is empty where the notice has none."""
     return base64.b64decode(message.get("b64") or "", validate=True)
 
 
 def _notice_number(message, name):
+    """Return the number of a notice; ValueError unless it is an integer from 1 to MAX_NOTICE_NUMBER."""
     value = message[name]
     if type(value) is not int or not 0 < value <= MAX_NOTICE_NUMBER:
         raise ValueError(f"{name} is not the number of a notice")
@@ -168,6 +170,7 @@
 
 
 def _string(message, name):
+    """Return a field that has to be a string; raises ValueError or KeyError otherwise."""
     if not isinstance(message[name], str):
         raise ValueError(f"{name} is not a string")
     return message[name]
@@ -183,6 +186,7 @@
 
 
 def _gauges(message):
+    """Return the readings of the gauges as a tuple; each is a finite number or None."""
     values = message["v"]
     if not isinstance(values, list) or not all(
         value is None or type(value) in (int, float) and math.isfinite(value) for value in values
@@ -229,6 +233,7 @@
 
 
 def _base64_json(body):
+    """Encode bytes as a JSON string of base64."""
     return f'"{base64.b64encode(body).decode()}"'
 
 
@@ -239,6 +244,7 @@
 
 @functools.lru_cache(maxsize=256)
 def _workload_json(workload):
+    """Encode the name of a workload as a JSON string; cached, as there are few names."""
     return ENCODE_JSON(workload)
 
 
--- a/valeturn/protocol/frames.py
+++ b/valeturn/protocol/frames.py
@@ -128,6 +128,7 @@
 
 
 def _decode_frame(kind, stream, payload):
+    """Decode a whole frame to a message, or to a ProtocolViolation."""
     if kind == CANCEL:
         return CancelRequest(stream) if not payload else ProtocolViolation("payload on a cancel frame")
     if kind not in (SUBMISSION, HEALTH_CHECK):
@@ -184,6 +185,7 @@
 
 
 def _decode_submission(stream, fields, body):
+    """Build the Submission from its fields, or an InvalidSubmission where one is missing or out of bounds."""
     try:
         call, workload = fields.get("call", ""), fields.get("op", "")
         if len(call) != 16 or not HEX_DIGITS.issuperset(call):
@@ -198,12 +200,13 @@
             call,
             workload,
             fields.get("org"),
+            # Unix time in milliseconds; the bound keeps later arithmetic exact, and is 30000 years away.
             _number(fields, "recv", 1e15, ...) / 1000.0,
             None if timeout_ms is None else timeout_ms / 1000.0,
             None if cost_hint_ms is None else cost_hint_ms / 1000.0,
-            _number(fields, "heap", LARGEST_BELOW_2000, ..., 1e-9),
+            _number(fields, "heap", LARGEST_BELOW_2000, ..., 1e-9),  # kilobytes; has to be above 0
             _number(fields, "crit", LARGEST_BELOW_1, 0.0),
-            int(_number(fields, "src", 2**53, 0.0)),
+            int(_number(fields, "src", 2**53, 0.0)),  # floats hold integers exactly up to 2**53
             fields.get("row"),
             fields.get("dedupe"),
             fields.get("rep") == "1",
@@ -214,6 +217,7 @@
 
 
 def _encode_frame(kind, stream, payload):
+    """Put the header before a payload; the length counts type and stream, which are 5 bytes."""
     return HEADER.pack(len(payload) + 5, kind, stream) + payload
 
 
@@ -227,6 +231,7 @@
 
 
 def _load_fields(load):
+    """Return the field with the advertised load, in a list that is empty where none is advertised."""
     return [] if load is None else [("load", f"{load:.4f}")]
 
 
@@ -259,7 +264,7 @@
 
 
 def connection_error():
-    """Encode the failure on stream 0, which tells the gateway that its whole connection is refused."""
+    """Encode the failure on stream 0, by which the server rejects the gateway's whole connection."""
     return _encode_coded_frame(ANSWER, 0, FAILED, [])
 
 
--- a/valeturn/protocol/http.py
+++ b/valeturn/protocol/http.py
@@ -84,6 +84,7 @@
         return line.decode("latin-1")
 
     def _read_head(self):
+        """Decode the status line and the headers, and choose how the body is delimited."""
         end = self.buffer.find(b"\r\n\r\n")
         if end > MAX_HEAD_BYTES or end < 0 and len(self.buffer) > MAX_HEAD_BYTES:
             raise ValueError("head too long")
@@ -125,6 +126,7 @@
         return True
 
     def _read_sized_body(self):
+        """Read a body whose length the headers give."""
         if len(self.buffer) < self.bytes_left:
             return None
         self.body += self.buffer[: self.bytes_left]
@@ -132,13 +134,15 @@
         return self._response()
 
     def _read_body_until_close(self):
+        """Read a body that only the end of the connection ends; `end` returns the response then."""
         self.body += self.buffer
         self.buffer.clear()
         if len(self.body) > MAX_BODY_BYTES:
             raise ValueError("body too long")
 
     def _read_chunk_size(self):
-        line = self._line(1024)
+        """Read the line before a chunk; a size of 0 is followed by the trailer."""
+        line = self._line(1024)  # bytes; ample for a size with its extensions
         if line is None:
             return None
         size = line.partition(";")[0].strip()
@@ -151,6 +155,7 @@
         return True
 
     def _read_chunk_data(self):
+        """Read a chunk and the end of its line."""
         if len(self.buffer) < self.bytes_left + 2:
             return None
         if self.buffer[self.bytes_left : self.bytes_left + 2] != b"\r\n":
@@ -161,7 +166,8 @@
         return True
 
     def _read_trailer(self):
-        line = self._line(1024)
+        """Skip a line of the trailer; an empty one ends the response."""
+        line = self._line(1024)  # bytes
         if line is None:
             return None
         return True if line else self._response()
--- a/valeturn/protocol/submission.py
+++ b/valeturn/protocol/submission.py
@@ -18,7 +18,7 @@
     memory: float  # kilobytes that it takes while it is queued
     rank: float  # importance, from 0 up to but not including 1
     caller: int  # number of the caller
-    subject: str | None  # record that the work reads or changes
+    subject: str | None  # what an idempotent (read) submission is about; writes have none
     idempotency_key: str | None  # the same for all repeats of a submission
     is_retry: bool  # the caller has submitted the same work before
     body: bytes  # passed to the executor as it is
--- a/valeturn/server/components/singleton_tasks.py
+++ b/valeturn/server/components/singleton_tasks.py
@@ -32,11 +32,12 @@
     """Configures the tasks of the cluster's node.
 
     Attributes:
-        sharing: Reports this server's call quota to the dispatcher; None if no task shares the calls.
+        call_quota_monitor: Reports this server's call quota to the dispatcher; None if no task shares the
+            calls.
     """
 
     applies_changes = True
-    sharing: CallQuotaMonitor | None = None
+    call_quota_monitor: CallQuotaMonitor | None = None
 
     def __init__(self, server: Server, options: Any) -> None:  # noqa: ANN401 - as the base class
         super().__init__(server, options)
@@ -49,12 +50,12 @@
             self.node.share_calls(*shared, self._required_calls)
             quota = self.node.call_quota
             assert quota is not None  # share_calls has created it
-            self.sharing = CallQuotaMonitor(quota.available)
+            self.call_quota_monitor = CallQuotaMonitor(quota.available)
 
     def _required_calls(self) -> float:
         """Return how many calls in flight this server could use now."""
-        assert self.sharing is not None
-        required: float = self.sharing.required_calls(self.server.dispatcher.call_count())
+        assert self.call_quota_monitor is not None
+        required: float = self.call_quota_monitor.required_calls(self.server.dispatcher.call_count())
         return required
 
     def can_apply(self, options: Any) -> bool:  # noqa: ANN401 - as the base class
--- a/valeturn/server/configuration.py
+++ b/valeturn/server/configuration.py
@@ -74,6 +74,7 @@
 
 
 def _address(raw: Mapping[str, Any], field: str) -> Address:
+    """Return the address under a key, whose text is HOST:PORT."""
     text = raw.get(field)
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     numeric = port.isascii() and port.isdigit() and len(port) <= MAX_PORT_DIGITS
@@ -85,6 +86,7 @@
 def _number(
     table: Mapping[str, Any], key: str, minimum: float, maximum: float, default: float, section: str = ""
 ) -> float:
+    """Return a number within its bounds; `section` is put before the key in the error."""
     value = table.get(key, default)
     if type(value) not in (int, float) or not minimum <= value <= maximum:
         raise ConfigurationError(
@@ -95,6 +97,7 @@
 
 
 def _name(raw: Mapping[str, Any]) -> str:
+    """Return the server's name; its characters are restricted, as it is part of a URL path."""
     name = raw.get("name")
     is_ascii_text = isinstance(name, str) and name.isascii() and bool(name)
     if not is_ascii_text or not all(character.isalnum() or character in "-_." for character in str(name)):
@@ -103,6 +106,7 @@
 
 
 def _seed(raw: Mapping[str, Any]) -> int:
+    """Return the seed of random numbers, which is given in hexadecimal digits."""
     text: Any = raw.get("seed")
     try:
         return int(text, 16)
@@ -111,6 +115,7 @@
 
 
 def _limits(raw: Mapping[str, Any]) -> Mapping[str, Any]:
+    """Return the object with the limits of the process; an empty one where the key is absent."""
     limits = raw.get("limits", {})
     if not isinstance(limits, dict):
         raise ConfigurationError("limits", f"wants an object, has {limits!r}")
@@ -118,6 +123,7 @@
 
 
 def _names(raw: Mapping[str, Any]) -> DecodedSettings:
+    """Decode and check the settings of admission, with the names of workloads and tenants."""
     settings = raw.get("settings")
     if not isinstance(settings, dict):
         raise ConfigurationError("settings", "wants an object")
--- a/valeturn/server/server.py
+++ b/valeturn/server/server.py
@@ -142,7 +142,7 @@
             Instrumentation(count, self.counters.times, self.log),
             getattr(self.components.get("store"), "store", None),
             getattr(self.components.get("level"), "monitor", None),
-            getattr(self.components.get("duty"), "sharing", None),
+            getattr(self.components.get("duty"), "call_quota_monitor", None),
         )
         self.dispatcher.trace = self.log if verbose else None
 
--- a/valeturn/server/status.py
+++ b/valeturn/server/status.py
@@ -44,17 +44,17 @@
     def gauges(self) -> dict[str, object]:
         """Return the gauges of the server's internal state, by name.
 
-        They tell what the server takes its state to be; traffic on the sockets can be compared with them.
+        They show the server's view of its own state, which can be compared with the traffic on its sockets.
         """
         server = self._server
         connections = server.gateways.connections
         return {
             **server.dispatcher.gauges(),
-            "calls_out": len(server.ledger.out),
+            "calls_out": len(server.ledger.tasks),
             "connections": len(connections),
-            "connections_in_use": sum(bool(connection.open) for connection in connections),
+            "connections_in_use": sum(bool(connection.open_streams) for connection in connections),
             "report_age_s": server.scheduler.clock() - server.registry.reported_at,
-            "link_up": int(server.executor.up),
+            "link_up": int(server.executor.connected),
             "cpu_share": server.dispatcher.pacing.share,
             **{
                 key: value
--- a/valeturn/simulator_adapter/wire.py
+++ b/valeturn/simulator_adapter/wire.py
@@ -44,7 +44,7 @@
             subject=message[8],
             caller=message[9] or 0,
             memory=message[10] or 0.0,
-            time_left=(message[11] or 0.0) / 1000.0 if self.passes_wait else None,
+            time_left=(message[11] or 0.0) / 1000.0 if self.passes_time_left else None,
             duplicate_of=message[12] or None,
             cost_hint=None if cost_hint is None else cost_hint / 1000.0,
         )
--- a/valeturn/transport/scheduler.py
+++ b/valeturn/transport/scheduler.py
@@ -66,7 +66,7 @@
     """Runs tasks, timers and waits for descriptors in one thread."""
 
     def __init__(self, clock=time.monotonic, on_failure=None):
-        """`on_failure(task, error)` is told of each exception in a task; without it the loop raises it."""
+        """`on_failure(task, error)` is called for each exception in a task; without it the loop raises it."""
         self.clock, self.on_failure = clock, on_failure
         # Entries of the queues are (task, value of its wake); of the heap (time, sequence, timer).
         self.ready, self.low_priority_ready, self.timers, self.sequence = deque(), deque(), [], 0
--- a/valeturn/transport/worker_thread.py
+++ b/valeturn/transport/worker_thread.py
@@ -47,7 +47,7 @@
             self.done.append((tag, result))
             try:
                 self.notify_socket.send(b".")
-            except OSError:  # full, so that wake-ups are under way already, or closed, so that nobody waits
+            except OSError:  # full, so that wake-ups are under way already, or closed: nothing reads
                 pass
 
     def collect(self):
