--- a/tests/degradation/test_conditions.py
+++ b/tests/degradation/test_conditions.py
@@ -1,4 +1,4 @@
-"""Conditions are parsed, formatted back, and rejected by the name of the broken rule."""
+"""Conditions are parsed, formatted back, and rejected with the name of the violated rule."""
 
 import pytest
 from degradation_support import NO_READINGS, condition
@@ -40,13 +40,14 @@
     ],
 )
 def test_malformed_condition_is_reported_by_its_rule(text, rule):
-    with pytest.raises(InvalidValueError) as wants:
+    with pytest.raises(InvalidValueError) as raised:
         condition(text)
-    assert wants.value.args[0] == rule
+    assert raised.value.args[0] == rule
 
 
 def test_every_comparison_is_timed_also_while_an_alternative_before_it_holds():
-    """The second one had no reading while the first one held, so that it counted as holding since before."""
+    """Guards against a short circuit: the second comparison missed readings while the first one held, and so
+    counted as holding since before."""
     tracked = ConditionTracker(condition("memory > 90 % for 1 s or cores.busy > 80 % for 3 s"), False)
     readings = [
         (0.0, {"memory": 0.1, "cores.busy": 0.9}, False),
--- a/tests/degradation/test_degradation.py
+++ b/tests/degradation/test_degradation.py
@@ -1,4 +1,4 @@
-"""The admission controller under a level, and a level in the server from its condition to the log."""
+"""The admission controller at a degradation level, and a level from its condition to the server's log."""
 
 import json
 import random
@@ -18,14 +18,14 @@
 from valeturn.server import configuration
 
 
-def rules(s, **gives):
-    r = AdmissionController(s, 1, 0.0)
-    r.decide(0.0, [interface.LevelChanged(interface.ServiceReduction(**gives))])
-    return r
+def controller_at_level(admission_settings, **restrictions):
+    controller = AdmissionController(admission_settings, 1, 0.0)
+    controller.decide(0.0, [interface.LevelChanged(interface.ServiceReduction(**restrictions))])
+    return controller
 
 
-def arrive(r, number, workload, now=0.1, **more):
-    return r.decide(
+def arrive(controller, number, workload, now=0.1, **more):
+    return controller.decide(
         now, [interface.Arrived(id=number, workload=workload, time_left=2.0, cost_hint=0.1, **more)]
     )
 
@@ -40,43 +40,50 @@
     ]
 
 
-def test_new_requests_are_rejected_by_class_priority_and_quota_and_no_others():
-    s = settings()
-    r = rules(s, rejected_workloads=frozenset((0,)), min_rank=0.3)
-    assert kinds(arrive(r, 1, 0, rank=0.9)) == [interface.Reject]
-    assert kinds(arrive(r, 2, 2, rank=0.1)) == [interface.Reject]
-    assert kinds(arrive(r, 3, 2, rank=0.9)) == [interface.Start]
-    r = rules(s, within_allowance_only=True)
+def test_only_new_requests_are_rejected_by_workload_priority_and_quota():
+    admission_settings = settings()
+    controller = controller_at_level(admission_settings, rejected_workloads=frozenset((0,)), min_rank=0.3)
+    assert kinds(arrive(controller, 1, 0, rank=0.9)) == [interface.Reject]
+    assert kinds(arrive(controller, 2, 2, rank=0.1)) == [interface.Reject]
+    assert kinds(arrive(controller, 3, 2, rank=0.9)) == [interface.Start]
+    controller = controller_at_level(admission_settings, within_allowance_only=True)
     started = [
-        kinds(arrive(r, n, 2, tenant=0, now=0.1 + n * 0.01)) == [interface.Start] for n in range(1, 30)
+        kinds(arrive(controller, n, 2, tenant=0, now=0.1 + n * 0.01)) == [interface.Start]
+        for n in range(1, 30)
     ]
     assert started[0]
-    assert not started[-1], "beyond five a second over two servers"
+    assert not started[-1], "beyond five per second over two servers"
 
 
 def test_requests_bypass_their_call_at_a_level_or_wait_shorter_for_it():
-    s = settings()
-    for gives, expected in (({}, interface.Call), ({"bypass_call": frozenset((0,))}, interface.BypassCall)):
-        r = rules(s, **gives)
-        arrive(r, 1, 0)
-        assert kinds(r.decide(0.2, [interface.CallRequested(1)])) == [expected]
+    admission_settings = settings()
+    for restrictions, expected in (
+        ({}, interface.Call),
+        ({"bypass_call": frozenset((0,))}, interface.BypassCall),
+    ):
+        controller = controller_at_level(admission_settings, **restrictions)
+        arrive(controller, 1, 0)
+        assert kinds(controller.decide(0.2, [interface.CallRequested(1)])) == [expected]
     waits = []
     for share in (1.0, 0.5):
-        r = rules(s, call_timeout_share=share)
-        arrive(r, 1, 2)
+        controller = controller_at_level(admission_settings, call_timeout_share=share)
+        arrive(controller, 1, 2)
         waits += [
-            a.timeout for a in r.decide(0.2, [interface.CallRequested(1)]) if isinstance(a, interface.Call)
+            a.timeout
+            for a in controller.decide(0.2, [interface.CallRequested(1)])
+            if isinstance(a, interface.Call)
         ]
     assert waits[1] == pytest.approx(waits[0] / 2)
 
 
 @pytest.mark.parametrize("first", ["level", "leave"])
 def test_level_entered_while_draining_and_drain_at_a_level_keep_the_invariants(first):
-    """The model breaks on anything unanswered at the stop, run past the grace or turned back once run."""
-    s = settings()
-    m = Model(AdmissionController(s, 1, 0.0), s)
-    m.batch(0.0)
-    m.batch(
+    """The model fails on a request that is unanswered at the stop, runs past the grace, or is rejected after
+    its start."""
+    admission_settings = settings()
+    model = Model(AdmissionController(admission_settings, 1, 0.0), admission_settings)
+    model.batch(0.0)
+    model.batch(
         0.1,
         *[
             interface.Arrived(n, n % 3 and 2, time_left=2.9, cost_hint=0.2, subject=f"k{n}")
@@ -89,27 +96,35 @@
         ),
         "leave": interface.DrainStarted(2.5),
     }
-    m.batch(0.2, events.pop(first))
-    m.batch(
-        0.25, interface.CallRequested(next(iter(n for n, sub in m.subs.items() if sub["at"] == "running")))
+    model.batch(0.2, events.pop(first))
+    model.batch(
+        0.25,
+        interface.CallRequested(next(iter(n for n, sub in model.subs.items() if sub["at"] == "running"))),
     )
-    m.batch(0.3, *events.values())
-    out = m.batch(
+    model.batch(0.3, *events.values())
+    out = model.batch(
         0.5,
         interface.Arrived(9, 0, time_left=2.9, cost_hint=0.1),
         interface.Arrived(10, 2, time_left=2.9, cost_hint=0.1),
     )
     assert [a.id for a in out if isinstance(a, interface.Reject)] == [9], "at the level, within the grace"
-    assert not any(isinstance(a, interface.Reject) and a.final for a in out), "a drain sends callers on"
+    assert not any(isinstance(a, interface.Reject) and a.final for a in out), (
+        "rejections of a drain are not final"
+    )
     for step in range(1, 26):
-        m.batch(0.5 + step / 10, interface.TimerFired(0, interface.Gauges(1.0, 4, 0.1, 5)))
-    assert not any(sub["owed"] for sub in m.subs.values())
+        model.batch(0.5 + step / 10, interface.TimerFired(0, interface.Gauges(1.0, 4, 0.1, 5)))
+    assert not any(sub["owed"] for sub in model.subs.values())
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_invariants_hold_under_any_changes_of_level_and_nothing_started_is_rejected(seed):
-    chance, s = random.Random(seed), settings(starts_cold=seed % 2 == 0)
-    model, number, now, started = Model(AdmissionController(s, seed, 0.0), s), 0, 0.0, set()
+    random_source, admission_settings = random.Random(seed), settings(starts_cold=seed % 2 == 0)
+    model, number, now, started = (
+        Model(AdmissionController(admission_settings, seed, 0.0), admission_settings),
+        0,
+        0.0,
+        set(),
+    )
     while now < 14.0:
         now = round(now + 0.01, 6)
         events = []
@@ -117,21 +132,21 @@
             events.append(interface.DrainStarted(4.0))
         if model.stop is not None and now >= model.stop:
             break
-        if chance.random() < 0.05:
+        if random_source.random() < 0.05:
             events.append(
                 interface.LevelChanged(
                     interface.ServiceReduction(
-                        frozenset(n for n in range(3) if chance.random() < 0.4),
-                        chance.choice((0.3, 1.0)),
-                        chance.random() < 0.3,
-                        chance.choice((0.0, 0.5)),
-                        frozenset(n for n in range(3) if chance.random() < 0.3),
+                        frozenset(n for n in range(3) if random_source.random() < 0.4),
+                        random_source.choice((0.3, 1.0)),
+                        random_source.random() < 0.3,
+                        random_source.choice((0.0, 0.5)),
+                        frozenset(n for n in range(3) if random_source.random() < 0.3),
                     )
                 )
             )
-        if now < 9.0 and chance.random() < 0.25:
+        if now < 9.0 and random_source.random() < 0.25:
             number += 1
-            workload, key = chance.randrange(3), f"k{chance.randrange(8)}"
+            workload, key = random_source.randrange(3), f"k{random_source.randrange(8)}"
             repeats = (
                 model.first_try(key, now)
                 if WORKLOADS[workload].effect is interface.Effect.DEDUPLICATED
@@ -141,17 +156,17 @@
                 interface.Arrived(
                     id=number,
                     workload=workload,
-                    tenant=chance.randrange(2),
+                    tenant=random_source.randrange(2),
                     subject=key,
                     memory=5.0,
-                    time_left=chance.uniform(0.3, 2.5),
-                    rank=chance.random(),
-                    cost_hint=chance.uniform(0.02, 0.5),
+                    time_left=random_source.uniform(0.3, 2.5),
+                    rank=random_source.random(),
+                    cost_hint=random_source.uniform(0.02, 0.5),
                     duplicate_of=repeats,
                 )
             )
         for one, sub in list(model.subs.items()):
-            roll = chance.random()
+            roll = random_source.random()
             if sub["at"] in ("running", "spent") and roll < 0.04:
                 done = interface.Outcome.DONE if sub["owed"] else interface.Outcome.CANCELLED
                 events.append(interface.Ended(one, done, 0.2))
@@ -160,7 +175,7 @@
             elif sub["at"] == "calling" and roll < 0.1:
                 events.append(
                     interface.CallEnded(
-                        one, chance.choice((interface.Outcome.DONE, interface.Outcome.TIMED_OUT)), 0.1
+                        one, random_source.choice((interface.Outcome.DONE, interface.Outcome.TIMED_OUT)), 0.1
                     )
                 )
             elif sub["at"] == "joined" and model.subs[sub["e"].duplicate_of]["at"] == "over":
@@ -174,7 +189,7 @@
                 isinstance(action, interface.Reject)
                 and action.id in started
                 and (model.subs[action.id]["w"].effect is not interface.Effect.IDEMPOTENT)
-            ), "turned back once started"
+            ), "rejected once started"
     assert len(started) > 20
 
 
@@ -198,14 +213,14 @@
             ends.now += 0.1
             ends.dispatcher.runs.gauges, ends.dispatcher.runs.gauged_at = (busy, 0, 1.0, 1), ends.now
             ends.turn(messages.DeferredEvent(interface.TimerFired(0, None)), do=[interface.SetTimer(0.0, 0)])
-    told = [e.reduction for e in ends.heard if isinstance(e, interface.LevelChanged)]
-    on_trial = [
+    reductions = [e.reduction for e in ends.heard if isinstance(e, interface.LevelChanged)]
+    on_probation = [
         interface.ServiceReduction(within_allowance_only=True, exempt_share=share)
         for share in (0.2, 0.4, 0.6, 0.8)
     ]
-    assert told == [
+    assert reductions == [
         interface.ServiceReduction(within_allowance_only=True),
-        *on_trial,
+        *on_probation,
         interface.ServiceReduction(),
     ]
     assert [(e, f["from"], f["to"]) for e, f in logged] == [("level", "none", "a"), ("level", "a", "none")]
@@ -213,4 +228,4 @@
     assert "cores.busy > 80 %" in logged[0][1]["why"]
     caller = Caller()
     ends.arrive("read", caller)
-    assert reducing.signals.sums[REQUESTS] >= 1, "arrivals are seen"
+    assert reducing.signals.sums[REQUESTS] >= 1, "arrivals are counted"
--- a/tests/degradation/test_degradation_controller.py
+++ b/tests/degradation/test_degradation_controller.py
@@ -1,4 +1,4 @@
-"""The state machine of the levels: its hard cases, and beside a reading of the whole history."""
+"""The state machine of the levels: special cases, and a comparison with rules over the whole history."""
 
 import math
 import random
@@ -30,10 +30,14 @@
 
 def test_noise_around_a_threshold_does_not_flap():
     for seed in range(10):
-        rng = random.Random(seed)
+        random_source = random.Random(seed)
         controller = DegradationController(three_levels(), 0.0)
-        changes = play(controller, lambda _, rng=rng: {"cores.busy": 0.8 + rng.gauss(0, 0.05)}, 3600)
-        assert len(changes) <= 4, "an hour at the boundary"
+        changes = play(
+            controller,
+            lambda _, random_source=random_source: {"cores.busy": 0.8 + random_source.gauss(0, 0.05)},
+            3600,
+        )
+        assert len(changes) <= 4, "over an hour at the threshold"
 
 
 def test_square_wave_lengthens_stays_and_changes_are_limited():
@@ -55,7 +59,7 @@
     assert play(controller, lambda t: {}, 60) == []
     play(controller, lambda t: {"cores.busy": 0.85}, 3, 60.0)
     assert controller.active_name == "slim"
-    assert play(controller, lambda t: {}, 4, 63.0) == [], "its last value counts for a while"
+    assert play(controller, lambda t: {}, 4, 63.0) == [], "its last result is kept for a while"
     assert active_names(play(controller, lambda t: {}, 10, 67.0)) == [None]
 
 
@@ -86,21 +90,21 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_controller_agrees_with_a_reading_of_the_whole_history(seed):
-    """What must hold at any sweep is worked out from the whole history of each signal."""
-    rng, controller, history = random.Random(seed), DegradationController(three_levels(), 0.0), []
+    """At each step the expected conditions are computed from the whole history of each signal."""
+    random_source, controller, history = random.Random(seed), DegradationController(three_levels(), 0.0), []
     busy, at, entered, changes = 0.5, None, 0.0, []
     for step in range(3000):
         now = step / 10
-        busy = min(1.0, max(0.0, busy + rng.gauss(0, 0.04)))
-        memory = rng.choice((0.3, 0.3, 0.3, 0.97)) if rng.random() < 0.02 else 0.3
+        busy = min(1.0, max(0.0, busy + random_source.gauss(0, 0.04)))
+        memory = random_source.choice((0.3, 0.3, 0.3, 0.97)) if random_source.random() < 0.02 else 0.3
         history.append((now, busy, memory))
 
         def held(test, now=now, history=history):
             since = now
-            for seen, one, _ in reversed(history):
-                if not test(one):
+            for time, value, _ in reversed(history):
+                if not test(value):
                     break
-                since = seen
+                since = time
             return test(history[-1][1]) and now - since >= 1.0
 
         met = {"slim": held(lambda b: b > 0.8), "thin": held(lambda b: b > 0.9), "bare": memory > 0.95}
@@ -112,7 +116,7 @@
             if rank[change.after] > rank[at]:
                 assert met[change.after]
             else:
-                assert now - entered >= 2.0 - 1e-9, "left before its least stay"
+                assert now - entered >= 2.0 - 1e-9, "left before its minimum stay"
                 assert sum(now - one < 60 for one in changes) < MAX_CHANGES
             at, entered = change.after, now
             changes.append(now)
@@ -122,26 +126,26 @@
             assert not above, f"{above} is met and not entered from {at}"
 
 
-def test_level_is_not_left_while_the_overload_that_it_relieves_lasts():
-    """The signal is as bad as the ratio of the requests that the level exempts.
+def test_level_is_not_left_while_the_overload_that_it_reduces_lasts():
+    """The signal is proportional to the ratio of the requests that the level exempts.
 
-    Were the level left for all requests at once, it would be entered again at once.
+    If the level were left for all requests at once, it would be entered again immediately.
     """
-    controller, trials = DegradationController(three_levels(5.0), 0.0), 0
+    controller, probations = DegradationController(three_levels(5.0), 0.0), 0
 
     def shape(t):
         load = 0.95 if t < 100 else 0.3
-        return {"cores.busy": load * (1.0 if controller.active_name is None else controller.spared_ratio(t))}
+        return {"cores.busy": load * (1.0 if controller.active_name is None else controller.exempt_ratio(t))}
 
     changes = []
     for step in range(1500):
         now, before = step / 10, controller.state
         changes += controller.step(now, {**NO_READINGS, **shape(now)}, {})
-        trials += before == State.ACTIVE and controller.state == State.PROBATION
-        assert (controller.spared_ratio(now) > 0) == (controller.state == State.PROBATION)
+        probations += before == State.ACTIVE and controller.state == State.PROBATION
+        assert (controller.exempt_ratio(now) > 0) == (controller.state == State.PROBATION)
     assert [change.after for change in changes[-2:]] == ["slim", None] or len(changes) <= 4
-    assert len(changes) <= 4, "entered, perhaps left once or twice, never each few seconds"
-    assert trials >= 2
+    assert len(changes) <= 4, "entered, possibly left once or twice, but not every few seconds"
+    assert probations >= 2
     assert controller.active_name is None
 
 
@@ -159,13 +163,13 @@
         play(controller, normal, 17, start + 3)
     assert controller.stay_factors["slim"] == 4.0
     play(controller, overloaded, 3, 140.0)
-    assert 1.0 < controller.stay_factors["slim"] < 2.0, "a minute and a half was quiet"
+    assert 1.0 < controller.stay_factors["slim"] < 2.0, "the level was inactive for a minute and a half"
 
 
 def test_returns_get_rarer_the_longer_a_level_flaps():
-    """The load needs the level whenever it is inactive, and looks well whenever it is active.
+    """The signal is high whenever the level is inactive, and low whenever it is active.
 
-    Each span of time brings no more returns than the one before.
+    Each span of time must have no more entries than the one before.
     """
     controller, entries = DegradationController(three_levels(5.0), 0.0), []
     for step in range(60 * 600):
@@ -173,10 +177,10 @@
         busy = 0.85 if controller.active_name is None else 0.3
         entries += [now for one in controller.step(now, {**NO_READINGS, "cores.busy": busy}, {}) if one.after]
     spans = ((0, 5), (5, 10), (10, 20), (20, 40), (40, 60))
-    quarter = [sum(60 * a <= at < 60 * b for at in entries) for a, b in spans]
-    assert quarter[0] >= 6, quarter
-    assert max(quarter[1:]) <= 6, quarter
-    assert quarter[4] <= quarter[3], quarter
+    entry_counts = [sum(60 * a <= at < 60 * b for at in entries) for a, b in spans]
+    assert entry_counts[0] >= 6, entry_counts
+    assert max(entry_counts[1:]) <= 6, entry_counts
+    assert entry_counts[4] <= entry_counts[3], entry_counts
 
 
 def test_transitions_start_from_known_states_and_omit_what_never_happens():
@@ -186,14 +190,15 @@
     assert (State.PINNED, Input.HIGHER_LEVEL_DUE) not in TRANSITIONS
 
 
-def test_configuration_replaced_during_probation_lets_the_probation_go_on():
-    """A reload cleared the start of the probation but not its state: the next sweep raised TypeError."""
+def test_configuration_replaced_during_probation_lets_the_probation_continue():
+    """Guards against a reload that clears the start of the probation but not the state: the next step raised
+    TypeError."""
     leave_at_once = condition("cores.busy < 60 %")
     levels = [level._replace(leave=leave_at_once) for level in three_levels(minimum_stay=2.0)]
     controller = DegradationController(levels, 0.0)
     play(controller, lambda t: {"cores.busy": 0.85}, 2)
     play(controller, lambda t: {"cores.busy": 0.1}, 1.5, 2.0)
-    assert controller.state is State.PROBATION and controller.spared_ratio(3.5) > 0
+    assert controller.state is State.PROBATION and controller.exempt_ratio(3.5) > 0
     controller.configure(levels)
-    assert controller.spared_ratio(3.5) > 0
+    assert controller.exempt_ratio(3.5) > 0
     assert active_names(play(controller, lambda t: {"cores.busy": 0.1}, 4, 3.5)) == [None]
--- a/tests/degradation/test_degradation_options.py
+++ b/tests/degradation/test_degradation_options.py
@@ -1,4 +1,4 @@
-"""Sections of levels are checked by themselves, beside each other and in a deployment."""
+"""Sections of levels are checked separately, together and in a deployment."""
 
 import pytest
 from degradation_support import LEVEL, SCHEMAS
@@ -59,8 +59,8 @@
 
 def test_signals_that_a_deployment_does_not_measure_are_reported():
     assert faults_of(LEVEL) == []
-    few = changed("settings.domain.gauges", ["runnable"])
-    assert [(f.line, f.rule) for f in faults_of(LEVEL, few)] == [(3, "no-signal"), (4, "no-signal")]
+    one_gauge = changed("settings.domain.gauges", ["runnable"])
+    assert [(f.line, f.rule) for f in faults_of(LEVEL, one_gauge)] == [(3, "no-signal"), (4, "no-signal")]
     no_calls = changed("settings.domain.calls_by_class", [False, False, False])
     text = LEVEL.replace("cores.busy > 80 %", "calls.latency > 3 x usual")
     assert [(f.line, f.rule) for f in faults_of(text, no_calls)] == [(3, "no-signal")]
--- a/tests/degradation/test_signals.py
+++ b/tests/degradation/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals are measured and their baselines learnt."""
+"""Measurement of the signals, and their baselines."""
 
 from degradation_support import BYPASS_CALLS, condition
 from helpers import settings
@@ -9,7 +9,7 @@
 from valeturn.dispatch.degradation_monitor import DegradationMonitor
 
 
-def test_signals_need_samples_and_stale_ones_go_missing():
+def test_signals_need_samples_and_stale_ones_are_missing():
     signals = Signals(0.0)
     signals.record_call(0.0, 0.1, False)
     assert signals.read(0.0)["calls.latency"] is None
--- a/tests/degradation_support.py
+++ b/tests/degradation_support.py
@@ -6,7 +6,7 @@
 from valeturn.server import components
 
 BYPASS_CALLS = interface.ServiceReduction(bypass_call=frozenset((0,)))
-REJECT_CLASS = interface.ServiceReduction(rejected_workloads=frozenset((0,)))
+REJECT_WORKLOAD = interface.ServiceReduction(rejected_workloads=frozenset((0,)))
 SCHEMAS = [module.SCHEMA for module in components.options_modules().values()]
 NO_READINGS = dict.fromkeys(
     ("calls.latency", "calls.failing", "cores.busy", "unread.wait", "memory", "turned_back")
@@ -38,20 +38,20 @@
             BYPASS_CALLS,
         ),
         DegradationLevel(
-            "bare", 3, condition("memory > 95 %"), condition("memory < 50 %"), minimum_stay, REJECT_CLASS
+            "bare", 3, condition("memory > 95 %"), condition("memory < 50 %"), minimum_stay, REJECT_WORKLOAD
         ),
     ]
 
 
 def play(controller, shape, seconds, start=0.0, warming_up=False):
-    """Return the changes, with their times, while shape(t) gives the signals ten times a second."""
-    out = []
+    """Step the controller ten times a second with the signals `shape(t)`; return the timed changes."""
+    changes = []
     for step in range(int(seconds * 10)):
         now = start + step / 10
-        out += [
+        changes += [
             (now, change) for change in controller.step(now, {**NO_READINGS, **shape(now)}, {}, warming_up)
         ]
-    return out
+    return changes
 
 
 def active_names(changes):
--- a/tests/digests/compaction.py
+++ b/tests/digests/compaction.py
@@ -11,8 +11,8 @@
     DiskHealth,
     decide,
 )
-from valeturn.result_store.compaction_policy import LATE_READ_GRACE as UNREAD
-from valeturn.result_store.compaction_policy import MANY_SEGMENTS as MANY
+from valeturn.result_store.compaction_policy import LATE_READ_GRACE_S as UNREAD
+from valeturn.result_store.compaction_policy import MERGE_ABOVE_SEGMENTS as MANY
 from valeturn.result_store.compaction_policy import CapacityView as Room
 from valeturn.result_store.compaction_policy import LogView as View
 from valeturn.result_store.compaction_policy import oldest_expired as over
--- a/tests/digests/degradation.py
+++ b/tests/digests/degradation.py
@@ -157,7 +157,7 @@
             decision.configure(generated_levels(chance, enters, leaves))
         cold = chance.random() < 0.1
         record(plain(decision.step(now, read, signals.baselines, cold)))
-        record([STATES.index(decision.state), decision.active_name, decision.spared_ratio(now)])
+        record([STATES.index(decision.state), decision.active_name, decision.exempt_ratio(now)])
         if step % 20 == 0:
             record(list(read.values()))
             record(list(signals.baselines.values()))
--- a/tests/fabric_cases.py
+++ b/tests/fabric_cases.py
@@ -1,4 +1,4 @@
-"""Plays cases with several processes of the program, a few at a time: most of their time is waiting."""
+"""Runs test cases on fleets of server processes, several at a time, as they mostly wait."""
 
 import asyncio
 import traceback
@@ -6,15 +6,16 @@
 from valeturn.lab.fault_injection.fleet import Fleet
 from valeturn.lab.fault_injection.storm import MUST_NOT
 
-AT_ONCE = 4  # fleets side by side: a dozen servers, which eight cores start in a second
+MAX_CONCURRENT_FLEETS = 4  # concurrent fleets: a dozen servers, which eight cores start in a second
 EFFECT = "[duty effect]\ndo = run\ncommand = {effect}\nmost = 1 h\npatience = 100 ms\nfenced = number\n"
 
 
 class Broken(AssertionError):
-    """What must hold however slow the machine is."""
+    """A violated guarantee that does not depend on the machine's speed."""
 
 
 def nothing_broken(fleet):
+    """Return the checker's findings; raise Broken where one must never happen."""
     found = fleet.judge()
     if any(found[key] for key in MUST_NOT):
         raise Broken(found)
@@ -25,23 +26,27 @@
     def __init__(self):
         self.cases = {}
 
-    def __call__(self, **how):
-        """Decorates a case; how: of the Fleet."""
+    def __call__(self, **fleet_options):
+        """Return a decorator that registers a case with the options of its Fleet."""
 
-        def kept(function):
-            self.cases[function.__name__] = function, how
+        def register(function):
+            self.cases[function.__name__] = function, fleet_options
             return function
 
-        return kept
+        return register
 
-    async def one(self, name, places, folders):
-        function, how = self.cases[name]
-        async with places:
+    async def run_case(self, name, slots, folders):
+        """Run one case; return None, or whether a guarantee was violated, and the traceback with the logs."""
+        function, fleet_options = self.cases[name]
+        async with slots:
             fleet = Fleet(
                 folders.mktemp("f") / "f",
-                how.get("count", 3),
+                fleet_options.get("count", 3),
                 1,
-                **{"duties": EFFECT, **{k: v for k, v in how.items() if k != "count"}},
+                **{
+                    "duties": EFFECT,
+                    **{key: value for key, value in fleet_options.items() if key != "count"},
+                },
             )
             try:
                 await fleet.start()
@@ -56,16 +61,18 @@
             finally:
                 await fleet.close()
 
-    async def every(self, folders):
-        places = asyncio.Semaphore(AT_ONCE)
-        found = await asyncio.gather(*(self.one(name, places, folders) for name in self.cases))
-        out = dict(zip(self.cases, found))
-        for name, wrong in out.items():
-            if wrong is not None and not wrong[0]:
-                out[name] = await self.one(name, places, folders)
-        return out
+    async def run_all(self, folders):
+        slots = asyncio.Semaphore(MAX_CONCURRENT_FLEETS)
+        found = await asyncio.gather(*(self.run_case(name, slots, folders) for name in self.cases))
+        results = dict(zip(self.cases, found))
+        for name, failure in results.items():
+            if failure is not None and not failure[0]:
+                results[name] = await self.run_case(name, slots, folders)
+        return results
 
     def play(self, folders):
-        """name -> None, or (whether what must never happen did, what went wrong). What only came too late
-        beside the others is played once more, alone; what must never happen is no matter of time."""
-        return asyncio.run(self.every(folders))
+        """Return for each case None, or whether a guarantee was violated, and the traceback.
+
+        A case that failed otherwise, possibly for lack of time beside the others, is repeated once, alone; a
+        violated guarantee does not depend on time and is final."""
+        return asyncio.run(self.run_all(folders))
--- a/tests/maintenance/test_commands.py
+++ b/tests/maintenance/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands of maintenance: exit codes, and the texts that operators see."""
+"""The maintenance commands: exit codes, and the texts that operators see."""
 
 import pytest
 
@@ -29,7 +29,7 @@
 
 @pytest.fixture
 def control(monkeypatch):
-    """Stand for the control socket: `answers` by what is asked for, and the requests that came."""
+    """Replace the control socket: `answers` by the request's `do`, and the received requests."""
 
     class Control:
         def __init__(self):
@@ -40,9 +40,9 @@
             self.requests.append(request)
             return self.answers[request["do"]]
 
-    stand_in = Control()
-    monkeypatch.setattr(client, "send_request", stand_in.ask)
-    return stand_in
+    fake_control = Control()
+    monkeypatch.setattr(client, "send_request", fake_control.ask)
+    return fake_control
 
 
 def test_request_has_the_keys_of_the_control_socket(control, capsys):
--- a/tests/maintenance/test_committed_records.py
+++ b/tests/maintenance/test_committed_records.py
@@ -1,4 +1,4 @@
-"""Reading of the records out of the replicated log."""
+"""Reading the maintenance records from the replicated log."""
 
 from types import SimpleNamespace
 
--- a/tests/maintenance/test_drain_schedule.py
+++ b/tests/maintenance/test_drain_schedule.py
@@ -34,7 +34,7 @@
     assert log.plan(views)["a"] == RecordState.WARMING_UP
     assert log.schedule.response_to(log.now, log.records()["a"], views[0]) == ("returned", 1)
     views[0] = make_view("a", incarnation=2, answer_count=3)
-    assert log.plan(views)["a"] == RecordState.WARMING_UP, "it has not proved itself yet"
+    assert log.plan(views)["a"] == RecordState.WARMING_UP, "it has not answered enough requests yet"
     views[0] = make_view("a", incarnation=2, answer_count=5)
     assert "a" not in log.plan(views)
     assert log.plan(views) == {"b": RecordState.GRANTED, "c": RecordState.WAITING}
@@ -115,7 +115,7 @@
     assert granted_order.index("b0") <= BYPASS_LIMIT + 2, granted_order
 
 
-def test_grant_that_no_server_took_up_is_requeued_only_when_it_can_reach_none_any_more():
+def test_unused_grant_is_requeued_only_when_it_can_no_longer_reach_the_server():
     log = ScheduledLog(*requested("a"))
     views = [make_view("a"), make_view("b"), make_view("c")]
     log.plan(views)
@@ -133,7 +133,7 @@
 
 
 def test_grant_does_not_expire_before_the_server_had_time_to_receive_it():
-    """The leader is an old one, and it plans before the server's next report."""
+    """The leader was elected long ago, and plans again before the server's next report."""
     log = ScheduledLog(*requested("a"), now=100.0)
     log.schedule.leader_since = 0.0
     views = [make_view("a"), make_view("b"), make_view("c")]
@@ -143,7 +143,7 @@
     assert log.records()["a"].fencing_token == 1
 
 
-def test_overload_of_a_drained_server_is_no_overload_of_the_cluster():
+def test_overload_of_a_drained_server_does_not_count_as_overload_of_the_cluster():
     log = ScheduledLog(requested("a")[0]._replace(state=RecordState.DRAINED, incarnation=1, fencing_token=1))
     drained = make_view("a", reported_state=RecordState.DRAINED, fencing_token=1, overloaded=True)
     assert log.plan([drained, make_view("b"), make_view("c")])["a"] == RecordState.IN_MAINTENANCE
@@ -158,27 +158,30 @@
     assert log.plan(views, 30.0)["a"] == RecordState.GRANTED
     assert log.plan(views)["b"] == RecordState.WAITING
     views[0] = make_view("a")
-    assert log.plan(views)["a"] == RecordState.GRANTED, "an instruction sent to it may be valid still"
+    assert log.plan(views)["a"] == RecordState.GRANTED, "an instruction sent to it may still be valid"
     log.plan(views, 2.0)
-    assert log.plan(views)["a"] in (RecordState.WAITING, RecordState.GRANTED), "it had never left"
+    assert log.plan(views)["a"] in (RecordState.WAITING, RecordState.GRANTED), "it had never stopped serving"
     assert log.records()["a"].fencing_token in (0, 2)
 
 
 @pytest.mark.parametrize("state", [RecordState.GRANTED, RecordState.DRAINING, RecordState.DRAINED])
 @pytest.mark.parametrize("seconds_away", [0.0, 5.0])
 def test_server_killed_before_its_maintenance_was_allowed_waits_for_it_again(state, seconds_away):
-    """A release went by a server: `lab turns` with five servers, seeds 6, 10 and 23, beside load.
+    """Guards against counting a restart as maintenance: `lab turns`, 5 servers, seeds 6, 10, 23, with load.
 
-    It was granted, killed before it could drain and started again by its supervisor. The leader's log told
-    `granted`, `in work`, `warming`, `maintenance_ended` within two seconds; its own has no `drain_started`.
-    The end of its life counted as the beginning of its maintenance, and its next life as the end.
+    A server was granted maintenance, killed before it could drain and restarted by its supervisor. The
+    leader logged `granted`, `in work`, `warming`, `maintenance_ended` within two seconds, the server no
+    `drain_started`: the end of its incarnation counted as the beginning of its maintenance, and the next
+    incarnation as the end.
     """
     record = requested("a")[0]._replace(state=state, incarnation=1, fencing_token=1)
     log = ScheduledLog(record)
     log.log_state = log.log_state._replace(fencing_token=1)
     others = [make_view("b"), make_view("c")]
     while log.now < seconds_away:
-        assert log.plan([make_view("a", alive=False), *others])["a"] == state, "its place stays taken"
+        assert log.plan([make_view("a", alive=False), *others])["a"] == state, (
+            "it still counts as unavailable"
+        )
     returned = make_view("a", incarnation=2)
     assert log.plan([returned, *others])["a"] == RecordState.WAITING
     log.plan([returned, *others])
@@ -202,7 +205,7 @@
         assert not log.records()["a"].overdue
 
 
-def test_request_that_was_cancelled_while_its_server_was_lost_ends_when_it_is_back():
+def test_request_that_was_cancelled_while_its_server_was_lost_ends_when_it_returns():
     record = requested("a")[0]._replace(
         state=RecordState.DRAINING, incarnation=1, fencing_token=1, cancelled=True
     )
@@ -225,7 +228,7 @@
         assert ("a" in records) is keep_missing
         assert not keep_missing or records["a"].overdue
         log.plan(views)
-        assert log.records()["b"].state == RecordState.WAITING, "the other is dead all the same"
+        assert log.records()["b"].state == RecordState.WAITING, "the other server is dead in either case"
     returned = make_view("a", incarnation=2, answer_count=9)
     log = ScheduledLog(requested("a")[0]._replace(**away, overdue=True))
     log.plan([returned, make_view("b")])
@@ -266,7 +269,7 @@
 
 
 class SimulatedServer:
-    """What a server does in truth, which the leader knows from its reports alone."""
+    """The actual state of a server, which the leader knows only from its reports."""
 
     REPORTED_STATES = {
         "serving": RecordState.WAITING,
@@ -313,11 +316,11 @@
             self.restart(now)
 
     def step(self, now, random_source, log):
-        """Report with some losses, finish the drain, and come back after maintenance."""
+        """Report with some losses, finish the drain, and return after maintenance."""
         if self.state != "away" and random_source.random() < 0.6:
             record = log.records().get(self.name)
             response = log.schedule.response_to(now, record, self.report(now))
-            if random_source.random() < 0.8:  # the answer comes in time
+            if random_source.random() < 0.8:  # the answer arrives in time
                 self.receive(now, response)
         elif self.state == "draining" and now - self.since > 0.5:
             self.state = "drained"
@@ -325,8 +328,8 @@
             self.restart(now)
 
 
-def test_by_any_inputs_no_more_are_unavailable_than_allowed_and_every_request_ends():
-    """Beside the schedule, plainly: who was granted and has not served since is unavailable."""
+def test_with_any_inputs_no_more_are_unavailable_than_allowed_and_every_request_ends():
+    """Checks the schedule against the servers' actual states: all that are not serving are unavailable."""
     for seed in range(40):
         random_source = SeededRandom(seed * 7 + 1)
         for _ in range(5):
@@ -348,7 +351,7 @@
                 )
                 for server in servers
             ]
-            if random_source.random() < 0.003:  # another leader: it knows the log alone
+            if random_source.random() < 0.003:  # another leader: it knows only the log
                 log.schedule = DrainSchedule(limits, 1.0, 1.5, log.now)
             log.plan(views)
             if not log.records():
--- a/tests/maintenance/test_leader.py
+++ b/tests/maintenance/test_leader.py
@@ -1,4 +1,4 @@
-"""The leader's part: what it makes of reports and of the membership."""
+"""The maintenance leader: its views from reports and the membership."""
 
 import pytest
 from maintenance_support import LeadingServer, requested
@@ -9,10 +9,10 @@
 
 @pytest.mark.parametrize("late_report", [False, True])
 def test_grant_is_for_present_incarnation_not_for_that_of_last_report(late_report):
-    """It left by the platform's termination signal while it waited, and is back.
+    """The server left on the platform's termination signal while it waited, and has returned.
 
-    What its earlier incarnation reported, received before or after that is known, must grant nothing: the
-    present one would count as maintained without having been drained.
+    A report of its earlier incarnation, received before or after the return is known, must lead to no grant:
+    the current incarnation would count as maintained without having been drained.
     """
     leader = LeadingServer(*requested("a"))
     leader.set_member("a", 1)
@@ -29,12 +29,12 @@
     assert leader.plan_from_reports() == {"a": RecordState.GRANTED}
     assert leader.records()["a"].incarnation == 2
     leader.receive_report("a", 2)
-    assert leader.plan_from_reports() == {"a": RecordState.GRANTED}, "it has yet to drain"
+    assert leader.plan_from_reports() == {"a": RecordState.GRANTED}, "it has not drained yet"
     leader.receive_report("a", 1)
     assert leader.plan_from_reports() == {"a": RecordState.GRANTED}, "a late report ends no incarnation"
     leader.set_member("a", 3)
     assert leader.plan_from_reports() == {"a": RecordState.GRANTED}, (
-        "the granted one is over, its place taken"
+        "the granted incarnation has ended and counts as unavailable"
     )
     assert leader.schedule.unavailable_servers(list(leader.records().values()), {}) == {"a"}
     leader.receive_report("a", 3)
--- a/tests/maintenance/test_local_drain.py
+++ b/tests/maintenance/test_local_drain.py
@@ -1,4 +1,4 @@
-"""One server's drain: which instructions it carries out, and when it gives up."""
+"""One server's drain: which instructions it carries out, and when it stops waiting."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 def make_drain():
-    return LocalDrain(0.0, response_validity=1.5, leader_patience=10.0)
+    return LocalDrain(0.0, response_validity=1.5, leader_timeout=10.0)
 
 
 def test_late_or_outdated_instruction_is_rejected_right_before_its_effect():
@@ -35,7 +35,7 @@
         [LocalDrainInput.DRAIN_GRANTED, LocalDrainInput.DRAIN_COMPLETED],
     ],
 )
-def test_termination_signal_goes_before_maintenance(earlier_inputs):
+def test_termination_signal_takes_precedence_over_maintenance(earlier_inputs):
     drain = make_drain()
     for received in earlier_inputs:
         drain.step(0.0, received)
--- a/tests/maintenance/test_release_simulation.py
+++ b/tests/maintenance/test_release_simulation.py
@@ -1,13 +1,13 @@
-"""A whole release in virtual time, against simpler ways."""
+"""A whole release in virtual time, compared with simpler strategies."""
 
 from valeturn.lab import turns as release_simulation
 
 
-def test_release_of_sixty_servers_holds_service_where_simpler_ways_do_not():
+def test_release_of_sixty_servers_holds_service_where_simpler_strategies_do_not():
     results = {
-        way: play(release_simulation.Release(60, 0.85, 3, 0.1))
-        for way, play in release_simulation.WAYS.items()
-        if "one" not in way
+        strategy: simulate(release_simulation.Release(60, 0.85, 3, 0.1))
+        for strategy, simulate in release_simulation.WAYS.items()
+        if "one" not in strategy
     }
     schedule = results["order"]
     batches = results["a tenth, pause 20 s"]
--- a/tests/maintenance_support.py
+++ b/tests/maintenance_support.py
@@ -57,7 +57,7 @@
         return {fields[0]: decode_record(fields) for fields in self.log_state.maintenance_records}
 
     def plan(self, views, seconds=0.1, paused=False):
-        """Let time pass, plan, commit what is proposed and return the states by server."""
+        """Advance the time, plan, commit the proposed entries and return the states by server."""
         self.now += seconds
         current = {}
         for view in views:
@@ -69,7 +69,7 @@
 
 
 class LeadingServer(ScheduledLog):
-    """The schedule at the leader's server, which gets its views from reports and the membership."""
+    """The schedule on the leader, which gets its views from reports and the membership."""
 
     def __init__(self, *records):
         super().__init__(*records)
@@ -78,32 +78,32 @@
             options=SimpleNamespace(lease=1.0, zone="z"),
             scheduler=None,
             task_processes=SimpleNamespace(environment={}),
-            others=[],
+            subsystems=[],
             clock=lambda: self.now,
             known_state=lambda: KnownState(0, self.log_state, "leader"),
             current_leader=lambda: "leader",
             leads=lambda now: False,
             membership=SimpleNamespace(local=self.make_member("leader", 1), members={}),
         )
-        options = SimpleNamespace(leader_patience=9.0)
+        options = SimpleNamespace(leader_timeout=9.0)
         self.node = node
         self.coordinator = MaintenanceCoordinator(node, options, None, None, None)
         self.coordinator.leader.schedule = self.schedule
 
     @staticmethod
     def make_member(name, incarnation, state=ALIVE):
-        """Return a member as the membership has it."""
+        """Return a member of the membership."""
         return Member(name, "", "a", incarnation, 0, state, 0.0)
 
     def set_member(self, name, incarnation, state=ALIVE):
-        """Let the membership learn of a server."""
+        """Set a server's record in the membership."""
         self.node.membership.members[name] = self.make_member(name, incarnation, state)
 
     def receive_report(self, name, incarnation):
-        """Let a serving server's report arrive."""
+        """Deliver the report of a serving server."""
         fields = (0.0, incarnation, "a", 1.0, 0.1, 1.0, False, 100, RecordState.WAITING, 0)
         self.coordinator.on_report(self.now, name, *fields)
 
     def plan_from_reports(self):
-        """Plan with the views that the leader itself has."""
+        """Plan with the leader's own views."""
         return self.plan(list(self.coordinator.leader.views(self.now).values()))
--- a/tests/raft_faults.py
+++ b/tests/raft_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the consensus, which the tests and the model checker have to find."""
+"""Deliberately faulty Raft nodes, whose faults the tests and the model checker have to find."""
 
 from valeturn.cluster.raft import RaftNode, Role
 
--- a/tests/result_store/test_entry_states.py
+++ b/tests/result_store/test_entry_states.py
@@ -1,34 +1,34 @@
-"""The table of an entry's states against a plain reading of it."""
+"""The table of an entry's states against a second formulation of the rules."""
 
 from valeturn.result_store import entry_states
 from valeturn.result_store.entry_states import ENDED_WITHOUT_RESULT, IN_DOUBT, NEVER_STARTED, SUCCEEDED
 
 
-def plain_entry(state, given):
-    """The states of an entry by a plain reading: what is on the disk, and who may still run."""
-    if given == entry_states.RESTART:
+def expected_state(state, entry_input):
+    """The expected next state: from what is on the disk, and whether the execution may still run."""
+    if entry_input == entry_states.RESTART:
         return IN_DOUBT if state in (entry_states.INTENT_PENDING, entry_states.EXECUTING) else state
-    if given == entry_states.WINDOW_ENDED:
+    if entry_input == entry_states.WINDOW_ENDED:
         return entry_states.ABSENT if state in (entry_states.STORED, entry_states.FAILED, IN_DOUBT) else None
-    if given == entry_states.START:
+    if entry_input == entry_states.START:
         return entry_states.INTENT_PENDING if state == entry_states.ABSENT else None
-    if given in (entry_states.INTENT_DURABLE, entry_states.INTENT_LOST):
+    if entry_input in (entry_states.INTENT_DURABLE, entry_states.INTENT_LOST):
         return (
             {
                 entry_states.INTENT_DURABLE: entry_states.EXECUTING,
                 entry_states.INTENT_LOST: entry_states.ABSENT,
-            }[given]
+            }[entry_input]
             if state == entry_states.INTENT_PENDING
             else None
         )
-    if given == NEVER_STARTED:
+    if entry_input == NEVER_STARTED:
         return (
             entry_states.ABSENT
             if state in (entry_states.INTENT_PENDING, entry_states.EXECUTING, IN_DOUBT)
             else None
         )
     return (
-        {SUCCEEDED: entry_states.STORED, ENDED_WITHOUT_RESULT: entry_states.FAILED}[given]
+        {SUCCEEDED: entry_states.STORED, ENDED_WITHOUT_RESULT: entry_states.FAILED}[entry_input]
         if state in (entry_states.EXECUTING, IN_DOUBT)
         else None
     )
@@ -36,7 +36,7 @@
 
 def test_transitions_match_plain_reading_for_every_state_and_input():
     for state in entry_states.ALL_STATES:
-        for given in range(8):
-            found = entry_states.transition(state, given)
-            assert (found[0] if found else None) == plain_entry(state, given), (state, given)
+        for entry_input in range(8):
+            found = entry_states.transition(state, entry_input)
+            assert (found[0] if found else None) == expected_state(state, entry_input), (state, entry_input)
     assert set(entry_states.LOOKUP_OUTCOMES) == set(entry_states.ALL_STATES)
--- a/tests/result_store/test_idempotent_requests.py
+++ b/tests/result_store/test_idempotent_requests.py
@@ -1,4 +1,4 @@
-"""Idempotent requests with a store: the dispatcher across kills, failing disks, shutdowns and duplicates."""
+"""Idempotent requests with a store: the dispatcher during kills, disk failures, shutdowns and duplicates."""
 
 import pytest
 from helpers import Caller, Ends
@@ -15,23 +15,23 @@
 REMEMBERED = [lambda n: interface.StoreKey(n, 8.0), interface.Start]
 
 
-def over(call, end=RunResult.DONE, result=b"result", number=1):
+def run_ended(call, end=RunResult.DONE, result=b"result", number=1):
     return executor_protocol.RunEnded(number, call, end, 0.1, result)
 
 
 class World:
-    """A server with a store on a disk that outlives it."""
+    """A server with a store on a disk that survives its restarts."""
 
     def __init__(self, held=False, real=False, **changes):
         self.machine, self.real, self.changes = Machine(longest=8.0), real, changes
-        self.caller, self.born = Caller(), 0
+        self.caller, self.start_count = Caller(), 0
         self.start(held)
 
     def start(self, held=False):
-        self.born += 1
+        self.start_count += 1
         self.store = self.machine.start(held)
         self.ends = Ends(kept=self.store, **self.changes)
-        self.ends.numbers = 1000 * self.born  # calls are new after a restart too
+        self.ends.numbers = 1000 * self.start_count  # execution ids differ after a restart
         if self.real:
             self.ends.dispatcher.rules = AdmissionController(self.ends.settings, 1, self.ends.now)
 
@@ -39,12 +39,12 @@
         self.machine.kill()
         self.start(held)
 
-    def arrive(self, mark="m", workload="book", do=None, caller=None, **changes):
+    def arrive(self, key="m", workload="book", do=None, caller=None, **changes):
         do = () if self.real else REMEMBERED if do is None else do
-        return self.ends.arrive(workload, caller or self.caller, do=do, idempotency_key=mark, **changes)
+        return self.ends.arrive(workload, caller or self.caller, do=do, idempotency_key=key, **changes)
 
     def disk(self, steps=None):
-        """The helper does so many jobs, and the owner hears of them."""
+        """Run up to `steps` jobs of the worker, and report them to the dispatcher."""
         self.store.worker.step(steps)
         self.ends.turn(messages.StoreProgressed())
 
@@ -64,7 +64,7 @@
     assert world.commands() == []
     world.disk()
     assert world.commands() == [call]
-    world.ends.turn(over(call))
+    world.ends.turn(run_ended(call))
     assert world.caller.answers == [(1001, DELIVERED, b"result")], "the answer does not wait for the disk"
 
 
@@ -72,8 +72,8 @@
     world = World(held=True)
     _, read = world.arrive(workload="read", do=[interface.Start])
     _, file = world.arrive(workload="file", do=[interface.Start])
-    _, bare = world.arrive(mark=None, do=[interface.Start])
-    assert world.commands() == [read, file, bare]
+    _, keyless = world.arrive(key=None, do=[interface.Start])
+    assert world.commands() == [read, file, keyless]
 
 
 @pytest.mark.parametrize(
@@ -96,9 +96,9 @@
         world.disk()
         assert world.commands() == [call]
         if at != "between start and end":
-            world.ends.turn(over(call))
+            world.ends.turn(run_ended(call))
             if at == "between result and answer":
-                world.store.worker.step()  # durable; take the answer as one that a broken connection lost
+                world.store.worker.step()  # durable; the answer counts as lost with its connection
     world.restart()
     caller = Caller()
     number, again = world.arrive(
@@ -124,7 +124,7 @@
         world.arrive(caller=caller, do=[interface.AnswerFromOriginal])
         assert world.ends.heard[-1].duplicate_of == first
     assert world.commands() == [call]
-    world.ends.turn(over(call))
+    world.ends.turn(run_ended(call))
     assert [codes(caller) for caller in callers] == [[DELIVERED]] * 3
     world.disk()
     world.restart()
@@ -149,9 +149,11 @@
         world.disk()
     assert [codes(caller) for caller in callers] == [[TURNED_BACK]] * 2 and world.commands() == []
     late = Caller()
-    world.arrive(mark="other", caller=late)
-    assert codes(late) == [TURNED_BACK] and 0.9 <= late.retry_in <= 1.0, "the disk rests for a second"
-    for _ in range(20):  # the disk takes writes again
+    world.arrive(key="other", caller=late)
+    assert codes(late) == [TURNED_BACK] and 0.9 <= late.retry_in <= 1.0, (
+        "the disk is tried again after a second"
+    )
+    for _ in range(20):  # the disk accepts writes again
         world.machine.pass_time(0.1)
         world.store.maintain()
         world.disk()
@@ -176,14 +178,14 @@
     world.restart()
     late = Caller()
     world.arrive(caller=late, do=[interface.AnswerFromOriginal])
-    assert codes(late) == [WRITTEN_OFF], "the second one ran"
+    assert codes(late) == [WRITTEN_OFF], "the second one was executed"
 
 
 def test_shutdown_with_pending_intents_answers_all_and_executes_none():
     world = World(held=True, real=True)
     world.disk()
     for n in range(3):
-        world.arrive(mark=f"m{n}")
+        world.arrive(key=f"m{n}")
     world.ends.turn(messages.DrainRequested(1.0))
     for _ in range(12):
         world.ends.now += 0.1
@@ -191,26 +193,26 @@
     assert len(world.caller.answers) == 3 and world.commands() == []
     world.disk()
     world.ends.turn()
-    assert world.commands() == [], "durable at last, and nobody waits for it"
+    assert world.commands() == [], "durable, but no request waits for it"
     world.store.worker.held = False
     world.disk()
     assert world.store.close(1.0)
     world.restart()
-    assert world.store.index.count == 0, "said to be unsent"
+    assert world.store.index.count == 0, "recorded as unsent"
 
 
 def test_executor_report_from_before_restart_answers_duplicate():
     world = World()
     _, call = world.arrive()
-    _, file = world.arrive(workload="file", mark=None, do=[interface.Start])
+    _, file = world.arrive(workload="file", key=None, do=[interface.Start])
     world.restart()
     world.ends.turn(
-        over(call, result=b"from before"),
-        over(file, number=2),
+        run_ended(call, result=b"from before"),
+        run_ended(file, number=2),
         executor_protocol.GaugesReported(REPLAY_END, ()),
     )
     assert world.ends.counts["executor.run_of_none"] == 1, (
-        "an unrepeatable one ends there; nothing runs again"
+        "an execution without a key is not known after the restart; nothing runs again"
     )
     assert world.commands() == []
     caller = Caller()
@@ -225,17 +227,17 @@
     world.restart()
     world.ends.turn(executor_protocol.CallRequest(1, call, b"ask"))
     assert world.commands("KILL") == [call] and world.ends.calls == []
-    world.ends.turn(over(call, RunResult.STOPPED, b"", 2))
+    world.ends.turn(run_ended(call, RunResult.STOPPED, b"", 2))
     caller = Caller()
     world.arrive(caller=caller, do=[interface.AnswerFromOriginal])
     world.disk()
     assert codes(caller) == [WRITTEN_OFF]
 
 
-def test_unreadable_result_fails_and_late_result_is_given_up():
+def test_unreadable_result_fails_and_late_result_is_abandoned():
     world = World()
     _, call = world.arrive()
-    world.ends.turn(over(call))
+    world.ends.turn(run_ended(call))
     world.disk()
     world.restart()
     world.machine.files.fail["read"] = (1, 5)
@@ -243,7 +245,7 @@
     world.arrive(caller=caller, do=[interface.AnswerFromOriginal])
     world.disk()
     assert codes(caller) == [WRITTEN_OFF]
-    world.store.worker.held = True  # a disk that hangs
+    world.store.worker.held = True  # the disk hangs
     caller = Caller()
     number, _ = world.arrive(caller=caller, do=[interface.AnswerFromOriginal])
     world.ends.turn(messages.DeferredEvent(interface.TimerFired(0, None)), do=[interface.Fail(number)])
@@ -273,32 +275,31 @@
     ends = Ends()
     ends.dispatcher.rules = AdmissionController(ends.settings, 1, ends.now)
     ends.dispatcher.repeating.table.most = 500
-    for mark in ("a", "b"):
-        ends.arrive("book", Caller(), idempotency_key=mark)
+    for key in ("a", "b"):
+        ends.arrive("book", Caller(), idempotency_key=key)
     ends.arrive("book", caller, idempotency_key="c")
     assert codes(caller) == [TURNED_BACK] and caller.retry_in == 1.0 and len(ends.lines) == 2
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_key_executes_twice_and_each_request_has_one_answer_over_restarts(seed):
-    """The real module and store, an executor that outlives both, kills at any moment and a disk that
-    fails."""
-    chance, world = seeded("keyed", seed), World(held=True, real=True)
+    """The real controller and store, an executor that survives both, kills at any time and a failing disk."""
+    random_source, world = seeded("keyed", seed), World(held=True, real=True)
     effects, results, running, streams = {}, {}, {}, {}
     seen = notices = 0
     for step in range(1500):
         ends = world.ends
         ends.now += 0.02
         world.machine.pass_time(0.02)
-        if chance.random() < 0.3:
-            mark, caller = f"m{step // 100}-{chance.randrange(12)}", Caller()
-            _, call = world.arrive(mark, caller=caller, body=mark.encode())
-            streams[call] = caller, mark
-        roll = chance.random()
+        if random_source.random() < 0.3:
+            key, caller = f"m{step // 100}-{random_source.randrange(12)}", Caller()
+            _, call = world.arrive(key, caller=caller, body=key.encode())
+            streams[call] = caller, key
+        roll = random_source.random()
         if roll < 0.5:
-            world.disk(chance.randrange(1, 3))
+            world.disk(random_source.randrange(1, 3))
         elif roll < 0.51:
-            world.machine.files.fail[chance.choice(("write", "sync"))] = 1, 5
+            world.machine.files.fail[random_source.choice(("write", "sync"))] = 1, 5
         elif roll < 0.52:
             world.restart(held=True)
             streams, seen = {}, 0
@@ -309,23 +310,23 @@
             world.store.maintain()
         for line in ends.lines[seen:]:
             if line["t"] == "EXEC":
-                mark = streams[line["rid"]][1]
-                assert mark not in effects, "an effect ran twice"
-                effects[mark], running[line["rid"]] = line["rid"], mark
+                key = streams[line["rid"]][1]
+                assert key not in effects, "an effect ran twice"
+                effects[key], running[line["rid"]] = line["rid"], key
             elif line["t"] == "KILL" and line["rid"] in running:
                 running.pop(line["rid"])
                 notices += 1
-                ends.turn(over(line["rid"], RunResult.STOPPED, b"", notices))
+                ends.turn(run_ended(line["rid"], RunResult.STOPPED, b"", notices))
         seen = len(ends.lines)
         for call in sorted(running):
-            if chance.random() < 0.1:
-                mark = running.pop(call)
+            if random_source.random() < 0.1:
+                key = running.pop(call)
                 notices += 1
-                results[mark] = b"done " + mark.encode()
-                ends.turn(over(call, RunResult.DONE, results[mark], notices))
-        for caller, mark in streams.values():
+                results[key] = b"done " + key.encode()
+                ends.turn(run_ended(call, RunResult.DONE, results[key], notices))
+        for caller, key in streams.values():
             assert len(caller.answers) <= 1
             for _, code, body in caller.answers:
-                assert code != DELIVERED or body == results[mark]
+                assert code != DELIVERED or body == results[key]
     assert len(effects) > 30 and world.machine.counts.get("store.invalid_transitions", 0) == 0
     assert not world.ends.counts.get("errors.core")
--- a/tests/result_store/test_log_jobs.py
+++ b/tests/result_store/test_log_jobs.py
@@ -6,9 +6,9 @@
 from valeturn.result_store.log_jobs import CompactionJob
 
 
-def test_start_from_snapshot_reads_only_records_behind_it():
+def test_start_from_snapshot_reads_only_records_after_it():
     machine = filled()
-    machine.tend(40)
+    machine.run_maintenance(40)
     assert machine.counts["store.snapshots"] >= 1 and "snapshot" in machine.files.names()
     machine.complete("after", 100, b"it")
     machine.kill()
@@ -20,40 +20,40 @@
     )
 
 
-def test_old_and_damaged_snapshots_are_made_up_for_by_the_log():
+def test_log_replaces_old_and_damaged_snapshots():
     machine = filled()
-    machine.tend(40)
-    old = bytes(machine.disk.data[machine.disk.now_names["snapshot"]])
+    machine.run_maintenance(40)
+    old = bytes(machine.disk.data[machine.disk.current_names["snapshot"]])
     for number in range(61, 121):
         machine.complete(f"k{number}", number, b"body %d" % number)
-    machine.tend(40)
-    for spoilt in (old, old[: len(old) // 2], b"", bytes(len(old))):
+    machine.run_maintenance(40)
+    for snapshot_bytes in (old, old[: len(old) // 2], b"", bytes(len(old))):
         machine.kill()
-        machine.disk.data[machine.disk.now_names["snapshot"]][:] = spoilt
+        machine.disk.data[machine.disk.current_names["snapshot"]][:] = snapshot_bytes
         machine.start()
         assert same_answers(machine, 120) and "store_damage_found" not in events(machine)
-        assert ("store_snapshot_rejected" in events(machine)) == (spoilt != old)
+        assert ("store_snapshot_rejected" in events(machine)) == (snapshot_bytes != old)
 
 
 def test_snapshot_newer_than_its_log_is_damage():
     machine = filled()
-    machine.tend(40)
+    machine.run_maintenance(40)
     machine.kill()
-    place = max(name for name in machine.disk.now_names if name.endswith(".log"))
-    del machine.disk.data[machine.disk.now_names[place]][20:]
+    place = max(name for name in machine.disk.current_names if name.endswith(".log"))
+    del machine.disk.data[machine.disk.current_names[place]][20:]
     machine.start()
     assert "store_snapshot_ahead_of_log" in events(machine) and machine.begin("new", 200) == "refused"
 
 
 def test_snapshot_with_missing_shard_is_rejected():
     machine = filled()
-    machine.tend(40)
+    machine.run_maintenance(40)
     machine.kill()
-    data = machine.disk.data[machine.disk.now_names["snapshot"]]
-    at = len(snapshot.SNAPSHOT_MAGIC)
-    at += snapshot.HEAD_HEADER.size + snapshot.HEAD_HEADER.unpack_from(data, at)[0]
-    _, length, _ = snapshot.SHARD_HEADER.unpack_from(data, at)
-    del data[at : at + snapshot.SHARD_HEADER.size + length]
+    data = machine.disk.data[machine.disk.current_names["snapshot"]]
+    offset = len(snapshot.SNAPSHOT_MAGIC)
+    offset += snapshot.HEAD_HEADER.size + snapshot.HEAD_HEADER.unpack_from(data, offset)[0]
+    _, length, _ = snapshot.SHARD_HEADER.unpack_from(data, offset)
+    del data[offset : offset + snapshot.SHARD_HEADER.size + length]
     machine.start()
     assert "store_snapshot_rejected" in events(machine) and same_answers(machine)
 
@@ -61,7 +61,7 @@
 def test_expired_segments_are_dropped_with_their_keys():
     machine = filled(window=10.0)
     machine.pass_time(20)
-    machine.tend(100)
+    machine.run_maintenance(100)
     assert machine.store.index.count == 0 and machine.counts["store.keys_expired"] == 60
     assert len(log_files(machine)) <= 2 and machine.counts["store.segments_dropped"] >= 1
     machine.kill()
@@ -70,7 +70,7 @@
 
 
 def test_compaction_killed_at_any_step_loses_no_entry_in_its_window():
-    """Killed before each operation on the disk, one after another, until a run comes through whole."""
+    """Kills the process before each disk operation in turn, until a run completes."""
 
     class Killed(BaseException):
         pass
@@ -81,22 +81,22 @@
         machine.start()
         for number in range(1, 61):
             machine.complete(f"k{number}", number, b"body %d" % number, 30.0 if number % 3 else 2.0)
-        machine.pass_time(8.0)  # a third is over
-        left = [point]
+        machine.pass_time(8.0)  # a third of the windows have ended
+        operations_left = [point]
 
-        def before(what, file, left=left):
+        def before(what, file, operations_left=operations_left):
             if what != "read":
-                left[0] -= 1
-                if left[0] < 0:
+                operations_left[0] -= 1
+                if operations_left[0] < 0:
                     raise Killed
 
         machine.store.maintain()
         machine.files.before = before
-        whole = False
+        completed = False
         try:
             machine.store.compact_all()
-            machine.tend(30)
-            whole = True
+            machine.run_maintenance(30)
+            completed = True
         except Killed:
             pass
         machine.kill()
@@ -105,20 +105,20 @@
         for number in range(1, 61):
             expected = ("answer", b"body %d" % number) if number % 3 else ("execute", None)
             assert machine.ask(f"k{number}") == expected, (point, number)
-        if whole:
+        if completed:
             assert point > 10
             return
-    raise AssertionError("never came through")
+    raise AssertionError("no run completed")
 
 
 def test_compacted_segment_stays_until_its_copies_are_durable():
     machine = filled()
-    machine.tend(40)
+    machine.run_maintenance(40)
     number = min(machine.store.recovered.segments)
-    held = machine.store.worker
+    worker = machine.store.worker
     machine.store.job = job = CompactionJob(machine.store, number)
     machine.store.collect()
-    held.held = True  # a disk that hangs with the copies on their way
+    worker.held = True  # the disk hangs while the copies are being written
     for _ in range(50):
         machine.store.maintain()
         machine.store.collect()
--- a/tests/result_store/test_records.py
+++ b/tests/result_store/test_records.py
@@ -1,4 +1,4 @@
-"""Frames of the log."""
+"""Decoding of the log's frames."""
 
 from valeturn.result_store import records, segment_scan
 
--- a/tests/result_store/test_recovery.py
+++ b/tests/result_store/test_recovery.py
@@ -16,12 +16,12 @@
     full = bytes(data)
     for cut in range(whole, len(full)):
         other = Machine()
-        other.disk.data, other.disk.now_names = (
+        other.disk.data, other.disk.current_names = (
             {1: bytearray(full[:cut]), 2: bytearray(key_of(machine))},
             {name: 1, "key": 2},
         )
         other.disk.synced = {1: cut, 2: 32}
-        other.disk.next = 2
+        other.disk.last_id = 2
         other.start()
         assert other.ask("first") == ("answer", b"one") and other.ask("second")[0] == "execute", cut
         assert ("store_torn_tail_cut" in events(other)) == (
@@ -36,35 +36,35 @@
 def test_directory_in_use_or_too_new_or_without_key_is_refused_unchanged(machine):
     machine.start()
     machine.complete("a", 1)
-    assert not type(machine.files)(machine.disk).prepare(), "one server a folder"
+    assert not type(machine.files)(machine.disk).prepare(), "a directory is used by one server offset a time"
     machine.kill()
     ((name, data),) = log_files(machine).items()
-    for spoil in ("version", "snapshot version", "key", "other key"):
+    for defect in ("version", "snapshot version", "key", "other key"):
         other = Machine()
         other.disk.data = {
             1: bytearray(data),
             2: bytearray(key_of(machine)),
             3: bytearray(records.file_magic(b"VTSNAP", 2, 0)),
         }
-        other.disk.now_names, other.disk.synced = (
+        other.disk.current_names, other.disk.synced = (
             {name: 1, "key": 2, "snapshot": 3},
             {1: len(data), 2: 32, 3: 8},
         )
-        if spoil == "version":
+        if defect == "version":
             other.disk.data[1][:12] = records.file_magic(b"VTKEPT", 9, 0)
-        elif spoil == "key":
-            del other.disk.now_names["key"]
-        elif spoil == "other key":
+        elif defect == "key":
+            del other.disk.current_names["key"]
+        elif defect == "other key":
             other.disk.data[2][0] ^= 1
-        if spoil != "snapshot version":
-            del other.disk.now_names["snapshot"]
-        before = {key: bytes(value) for key, value in other.disk.data.items()}, dict(other.disk.now_names)
+        if defect != "snapshot version":
+            del other.disk.current_names["snapshot"]
+        before = {key: bytes(value) for key, value in other.disk.data.items()}, dict(other.disk.current_names)
         with pytest.raises(StoreRefusedError):
             other.start()
         assert before == (
             {key: bytes(value) for key, value in other.disk.data.items()},
-            other.disk.now_names,
-        ), spoil
+            other.disk.current_names,
+        ), defect
 
 
 def test_records_of_newer_minor_version_are_skipped(machine):
@@ -72,9 +72,9 @@
     machine.complete("a", 1)
     ((name, data),) = log_files(machine).items()
     sequence = machine.store.sequence + 1
-    news = [[77, "from the future"], [records.UNSENT, b"x" * 16, "more"]]
-    news = b"".join(records._pack(one) for one in news)
-    data += records.encode_frame(1, sequence, news)
+    newer_records = [[77, "from the future"], [records.UNSENT, b"x" * 16, "more"]]
+    newer_records = b"".join(records._pack(record) for record in newer_records)
+    data += records.encode_frame(1, sequence, newer_records)
     machine.kill()
     machine.start()
     assert machine.store.recovered.unknown_records == 1 and machine.ask("a")[0] == "answer"
@@ -85,8 +85,8 @@
     for number in range(1, 9):
         machine.complete(f"k{number}", number, b"body %d" % number)
     ((name, data),) = log_files(machine).items()
-    at = data.index(b"body 4")
-    data[at] ^= 0xFF
+    offset = data.index(b"body 4")
+    data[offset] ^= 0xFF
     machine.kill()
     return machine
 
@@ -95,14 +95,14 @@
     damaged_in_the_middle(machine).start()
     assert {"store_damage_found", "store_keys_in_doubt"} <= set(events(machine))
     assert machine.ask("k3") == ("answer", b"body 3") and machine.ask("k5") == ("answer", b"body 5")
-    assert machine.ask("k4") == ("fail", None), "its intent is whole, its result is lost"
-    assert machine.begin("new", 20) == "refused", "it may have run in what was lost"
+    assert machine.ask("k4") == ("fail", None), "its intent is readable, its result is lost"
+    assert machine.begin("new", 20) == "refused", "its records may be among the lost ones"
     assert 25 < machine.store.retry_after() <= 30
-    machine.tend(30)  # the snapshot stands, and the segment is set aside
+    machine.run_maintenance(30)  # the snapshot is written, and the segment is set aside
     assert any(name.endswith(".damaged") for name in machine.files.names())
     machine.kill()
     machine.start()
-    assert machine.begin("new", 21) == "refused", "a second restart has not forgotten the doubt"
+    assert machine.begin("new", 21) == "refused", "the doubt survives a second restart"
     assert machine.ask("k5") == ("answer", b"body 5")
     machine.pass_time(31)
     assert machine.begin("new", 22) == "started"
@@ -113,7 +113,7 @@
     machine.complete("a", 1)
     machine.begin("b", 2)
     ((name, data),) = log_files(machine).items()
-    data[-1] ^= 0xFF  # all its bytes are there: a killed process does not leave this
+    data[-1] ^= 0xFF  # the frame is complete, which a killed process can't have left
     machine.kill()
     machine.start()
     assert "store_damage_found" in events(machine) and machine.begin("b", 3) == "refused"
@@ -127,7 +127,7 @@
     machine.kill()
     names = sorted(log_files(machine))
     assert len(names) > 4
-    del machine.disk.now_names[names[2]]
+    del machine.disk.current_names[names[2]]
     machine.start()
     assert "store_damage_found" in events(machine) and machine.begin("new", 99) == "refused"
     assert machine.ask("k29")[0] == "answer"
@@ -138,10 +138,10 @@
     for number in range(1, 6):
         machine.complete(f"k{number}", number)
     ((_, data),) = log_files(machine).items()
-    at, frames = len(records.LOG_MAGIC), []
-    while (frame := records.read_frame(data, at, 1)) is not None:
-        frames.append((at, frame.end))
-        at = frame.end
+    offset, frames = len(records.LOG_MAGIC), []
+    while (frame := records.read_frame(data, offset, 1)) is not None:
+        frames.append((offset, frame.end))
+        offset = frame.end
     del data[frames[4][0] : frames[4][1]]
     machine.kill()
     machine.start()
@@ -150,31 +150,33 @@
 
 @pytest.mark.parametrize("seed", range(30))
 def test_randomly_damaged_files_are_read_or_refused(seed):
-    chance, machine = seeded("bytes", seed), filled(20)
-    machine.tend(30)
+    random_source, machine = seeded("bytes", seed), filled(20)
+    machine.run_maintenance(30)
     machine.kill()
-    for name, key in machine.disk.now_names.items():
+    for name, key in machine.disk.current_names.items():
         data = machine.disk.data[key]
-        for _ in range(chance.randrange(4) if name != "key" and data else 0):
-            at = chance.randrange(len(data))
-            if chance.random() < 0.5:
-                data[at] = chance.randrange(256)
+        for _ in range(random_source.randrange(4) if name != "key" and data else 0):
+            offset = random_source.randrange(len(data))
+            if random_source.random() < 0.5:
+                data[offset] = random_source.randrange(256)
             else:
-                data[at : at + chance.randrange(40)] = bytes(
-                    chance.randrange(256) for _ in range(chance.randrange(40))
+                data[offset : offset + random_source.randrange(40)] = bytes(
+                    random_source.randrange(256) for _ in range(random_source.randrange(40))
                 )
     try:
         machine.start()
     except StoreRefusedError:
         return
     for number in range(1, 21):
-        how, body = machine.ask(f"k{number}")
+        outcome, body = machine.ask(f"k{number}")
         assert body in (None, b"body %d" % number)
-        assert how != "execute" or machine.store.retry_after() > 0, "forgotten, and told so by nobody"
+        assert outcome != "execute" or machine.store.retry_after() > 0, (
+            "lost without the store being in doubt"
+        )
 
 
 def test_snapshot_that_is_newer_than_the_log_is_noted_once(machine):
-    """It was noted, and its segment counted as damaged, twice."""
+    """Guards against noting the finding, and counting its segment as damaged, twice."""
     machine.limits = machine.limits._replace(segment=500)
     machine.start()
     for number in range(1, 30):
@@ -185,7 +187,7 @@
     newer = [name for name in log_files(machine) if int(name[5:13]) >= position]
     assert newer
     for name in newer:
-        del machine.disk.now_names[name]
+        del machine.disk.current_names[name]
     older = machine.files
     older.create("kept-00000001.log")
     machine.disk.crash()
--- a/tests/result_store/test_store_commands.py
+++ b/tests/result_store/test_store_commands.py
@@ -1,4 +1,4 @@
-"""The commands on a store's directory."""
+"""The commands `valeturn store` on a directory."""
 
 from memory_disk import Machine
 
--- a/tests/result_store/test_window_clock.py
+++ b/tests/result_store/test_window_clock.py
@@ -1,4 +1,4 @@
-"""Deduplication windows while clocks are set and machines rebooted."""
+"""Deduplication windows while clocks are set and the machine is rebooted."""
 
 import pytest
 
@@ -15,7 +15,7 @@
         (0, True, 40, False),
         (-3600, True, 40, True),
     ],
-)  # set back in a reboot: longer
+)  # the last case: set back during a reboot, which lengthens the window
 def test_windows_survive_restart_with_stepped_wall_clock(machine, step, reboot, down, still):
     machine.start()
     machine.complete("a", 1)
@@ -43,5 +43,5 @@
     machine.complete("a", 1, window=2.0)
     machine.pass_time(3)
     machine.complete("a", 2, b"second", window=60.0)
-    machine.tend(450)
+    machine.run_maintenance(450)
     assert machine.ask("a") == ("answer", b"second")
--- a/valeturn/cluster/__init__.py
+++ b/valeturn/cluster/__init__.py
@@ -1,5 +1,5 @@
-"""Servers that may talk to each other: who is there (membership), and messages between them.
+"""The cluster of servers: membership, Raft consensus, singleton tasks and quotas of calls.
 
-Off unless the operator's file has [fleet]. Decisions stand in modules without I/O; links come to them as
-values. docs/design/one-owner.md has the ways weighed and the order in which it is built.
+Off unless the operator's file has [fleet]. Decisions are in modules without I/O, which receive messages and
+the time as values. docs/design/one-owner.md describes the alternatives and the structure.
 """
--- a/valeturn/cluster/bootstrap.py
+++ b/valeturn/cluster/bootstrap.py
@@ -1,14 +1,14 @@
-"""How a cluster begins, once: all servers that are named as voters agree on who they are. No I/O.
+"""The one-time bootstrap of a cluster: all servers named as voters agree on the set of voters. No I/O.
 
-A voter without durable state may be new, or may have lost its disk; it can't tell which. A cluster is
-therefore bootstrapped only by *all* voters that the operator's files name, each in an incarnation that has
-never voted: then no vote was given that could be given twice. Each server announces its own record; once it
-has the records of all it proposes the set of them; once all others propose the same set, that set is the
-cluster's, for good, and is announced as such. A server that finds its present incarnation in a completed set
-takes that set: it has given no vote yet, under that set or any.
+A voter without durable state can't tell whether it is new or has lost its disk. A cluster is therefore
+bootstrapped only by *all* voters that the operator's files name, each in an incarnation that has never voted,
+so that no vote can be given twice. Each server announces its own record; once it has the records of all, it
+proposes the set of them; once all others propose the same set, that set is permanently the cluster's and is
+announced as completed. A server that finds its current incarnation in a completed set adopts that set, as it
+has never voted.
 
-An incarnation that ends between its proposal and the completion is in no later set. Where so many of a
-completed set end at once that no majority is left, nothing is made up: the majority is lost for good.
+An incarnation that ends between its proposal and the completion is in no later set. If so many servers of a
+completed set lose their state at once that no majority is left, the majority is lost permanently.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
     """One voter's record; the order of the fields is their order on the wire."""
 
     name: str
-    incarnation: int  # of its durable state: larger each time it begins without one
-    fencing_floor: int  # the least fencing token that may be granted, as far as the voter knows
+    incarnation: int  # of its durable state: larger at each start without one
+    fencing_floor: int  # the lowest fencing token that may be granted, according to this voter
 
 
 VoterSet = tuple[VoterRecord, ...]  # sorted
 
 
 def read_voter_set(value: object) -> VoterSet | None:
-    """Return the voter set that a received value stands for, or None if it is malformed."""
+    """Return the voter set that a received value encodes, or None if it is malformed."""
     if not isinstance(value, list):
         return None
     records = []
@@ -62,16 +62,16 @@
 
 
 class Bootstrap:
-    """One named voter's part in the bootstrap, while it has no durable state."""
+    """The bootstrap on one named voter, while it has no durable state."""
 
     def __init__(self, name: str, incarnation: int, fencing_floor: int, voter_names: Sequence[str]) -> None:
-        """Begin with this voter's own record alone.
+        """Start with only this voter's record.
 
         Args:
-            name: of this voter.
-            incarnation: one that has never voted.
-            fencing_floor: the least fencing token that may be granted; 0 where its disk would remember.
-            voter_names: all voters that the operator's file names, this one among them.
+            name: this voter's name.
+            incarnation: an incarnation that has never voted.
+            fencing_floor: the lowest fencing token that may be granted; 0 where its disk stores tokens.
+            voter_names: all voters that the operator's file names, including this one.
         """
         self.completed: VoterSet | None = None
         self._local = VoterRecord(name, incarnation, fencing_floor)
@@ -88,20 +88,20 @@
         return known if len(known) == len(records) else None
 
     def announcement(self) -> list[Any]:
-        """Return the fields of the message for the others: own record, proposal, whether it is complete."""
+        """Return the fields of the message to the others: own record, proposal, whether it is completed."""
         return [list(self._local), voter_set_to_wire(self.proposal()), self.completed is not None]
 
     def receive(self, sender: str, record: object, proposal: object, completed: object) -> VoterSet | None:
-        """Take another voter's announcement; one that is malformed or of an earlier incarnation is ignored.
+        """Handle another voter's announcement; one that is malformed or of an earlier incarnation is ignored.
 
         Args:
             sender: the voter's name.
             record: its own record.
             proposal: the set that it proposes, or None.
-            completed: whether that set is the cluster's already.
+            completed: whether that set is already the cluster's.
 
         Returns:
-            The cluster's voter set, or None while it is not complete.
+            The cluster's voter set, or None until it is completed.
         """
         if self.completed is not None or sender not in self._voter_names:
             return self.completed
--- a/valeturn/cluster/call_quota.py
+++ b/valeturn/cluster/call_quota.py
@@ -1,4 +1,4 @@
-"""This server's quota of calls on the shared dependency, and the split of their limit on the leader."""
+"""This server's quota of calls on the shared dependency, and on the leader the split of the limit."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from .replicated_state import ClusterState
 from .task_options import SingletonTaskOptions
 
-# Kinds of the messages between servers; their bytes must not change.
+# Kinds of messages on the wire; they must not change.
 REQUEST_MESSAGE = "need"
 GRANT_MESSAGE = "share"
-# Counters, which are keys of the status too and must not change.
+# Names of counters, which are also keys of the status; they must not change.
 ACCEPTED_COUNTER = "fleet.shares.taken"
 STALE_COUNTER = "fleet.shares.stale"
-# Requests in the duration of a grant: a few, so that one may be lost.
+# Requests within the duration of a grant: several, so that one may be lost.
 REQUESTS_PER_GRANT = 4
-# Leases in the duration of a grant: what the loss of a leader takes mostly.
+# Duration of a grant in leases: within it a lost leader is usually replaced.
 LEASES_PER_GRANT = 2
-# Requests are spread over this fraction of their interval to both sides, so that servers do not send at once.
+# The interval varies by this fraction up and down, so that servers do not send simultaneously.
 JITTER = 0.2
 # A change by more than this fraction of the quota is logged.
 LOGGED_CHANGE = 0.1
 
 
 class ClusterNode(Protocol):
-    """What the quota uses of this server's cluster node."""
+    """The part of this server's cluster node that the quota uses."""
 
     name: str
     options: Any
@@ -39,7 +39,7 @@
         """Return the fencing token under which this server may act for a singleton task now."""
 
     def known_state(self) -> tuple[int, ClusterState, str | None]:
-        """Return the term, the replicated state and the leader as far as they are known here."""
+        """Return the term, the replicated state and the leader that are known here."""
 
     def send(self, name: str, kind: str, fields: list[Any]) -> None:
         """Send a message to another server."""
@@ -55,24 +55,24 @@
 
 
 class CallQuota:
-    """Both sides of the split of the calls on one server. Timestamps are in seconds of the node's clock."""
+    """Both sides of the split of the calls, on one server. Timestamps are in seconds of the node's clock."""
 
     def __init__(
         self, node: ClusterNode, name: str, options: SingletonTaskOptions, need: Callable[[], float]
     ) -> None:
-        """Take part in the split.
+        """Start without a grant.
 
         Args:
             node: this server's cluster node.
             name: the singleton task that splits the calls.
-            options: its options; they have a limit.
-            need: returns how many calls this server could use now.
+            options: the task's options, which include a limit.
+            need: returns the number of concurrent calls that this server could use now.
         """
         self.node = node
         self.name = name
         self.options = options
         self.need = need
-        self.limit = options.call_limit or 0  # the options are checked to have one: see task_options
+        self.limit = options.call_limit or 0  # task_options checks that there is one
         self.max_servers = node.options.largest
         self.grant_duration = max(
             REQUESTS_PER_GRANT * options.request_interval, LEASES_PER_GRANT * node.options.lease
@@ -82,7 +82,7 @@
         self.next_request_at = 0.0
 
     def available(self) -> float:
-        """Return how many calls this server may have out now."""
+        """Return how many calls this server may have in progress now."""
         return self.client.available(self.node.clock())
 
     def tick(self, now: float) -> None:
@@ -101,10 +101,10 @@
     def on_request(
         self, now: float, sender: str, need: float, sent_at: float, current_grant: Sequence[int]
     ) -> None:
-        """Answer a request; a server that is not the leader, or not any more, sends nothing.
+        """Answer a request; a server that is not the leader, or no longer, sends nothing.
 
         Raises:
-            TypeError, ValueError, IndexError: a field of the message is not what it should be.
+            TypeError, ValueError, IndexError: a field of the message has a wrong type or form.
         """
         token = self.node.acts(self.name)
         if token is None:
@@ -112,7 +112,7 @@
             return
         if self.allocator is None or self.allocator.fencing_token != token:
             self.allocator = QuotaAllocator(now, token, self.limit, self.max_servers, self.grant_duration)
-        # The fields come from another server unchecked: the conversions raise where one is wrong.
+        # The fields are unchecked input from another server: the conversions raise where one is wrong.
         confirmed = GrantId(int(current_grant[0]), int(current_grant[1]))
         request = QuotaRequest(float(need), float(sent_at), confirmed)
         grant = self.allocator.handle_request(now, sender, request)
@@ -127,7 +127,7 @@
         """Receive a grant.
 
         Raises:
-            TypeError, ValueError: a field of the message is not what it should be.
+            TypeError, ValueError: a field of the message has a wrong type or form.
         """
         token, number, *rest = fields
         grant = QuotaGrant(int(token), int(number), *map(float, rest))
@@ -142,7 +142,7 @@
             self.node.count(STALE_COUNTER)
 
     def status(self, now: float) -> dict[str, object]:
-        """Return what `valeturn fleet status` shows of the quota; its keys must not change."""
+        """Return the quota's part of `valeturn fleet status`; its keys must not change."""
         return {
             "calls": self.client.available(now),
             "from": self.client.source.value,
@@ -150,11 +150,11 @@
         }
 
     def allocator_status(self, now: float) -> dict[str, object] | None:
-        """Return what `valeturn fleet status` shows of the split, or None on a server that does not lead."""
+        """Return the split's part of `valeturn fleet status`, or None on a server that does not lead."""
         return None if self.allocator is None else self.allocator.status(now)
 
     def _lease_holder(self) -> str | None:
-        """Return the server that splits the limit, as far as it is known here, or else the leader."""
+        """Return the server that is known here to split the limit, or else the leader."""
         _, replicated_state, leader = self.node.known_state()
         lease = replicated_state.task_lease(self.name)
         return leader if lease is None else lease.holder
--- a/valeturn/cluster/codec.py
+++ b/valeturn/cluster/codec.py
@@ -4,7 +4,7 @@
                                                        checksum is over version and payload
     payload = MessagePack array [cluster, sender, generation, kind, fields...]
 
-Bytes that are damaged, too long or of another cluster end the stream they came by: `Decoder.feed` returns a
+Bytes that are damaged, too long or of another cluster end decoding of their stream: `Decoder.feed` returns a
 `DecodeError` as the last result, and nothing after it.
 """
 
@@ -36,10 +36,10 @@
 
 
 class DecodeError(ValeturnError):
-    """Received bytes are no message of this cluster.
+    """Received bytes are not a message of this cluster.
 
     Attributes:
-        reason: what is wrong with them.
+        reason: why they can't be decoded.
     """
 
     def __init__(self, reason: DecodeFailure) -> None:
@@ -48,11 +48,11 @@
 
 
 class MessageTooLongError(ValeturnError):
-    """A message does not fit the limit: a fault of this program.
+    """A message exceeds the limit, which is a fault of this program.
 
     Attributes:
-        kind: of the message.
-        size: of its payload in bytes.
+        kind: the message's kind.
+        size: the size of its payload in bytes.
     """
 
     def __init__(self, kind: str, size: int) -> None:
@@ -117,7 +117,7 @@
 
 
 class Decoder:
-    """Cuts the bytes of one stream into messages."""
+    """Splits the bytes of one stream into messages."""
 
     def __init__(self, cluster: str) -> None:
         self._cluster = cluster
@@ -125,10 +125,10 @@
         self._failed = False
 
     def feed(self, data: bytes) -> list[Message | DecodeError]:
-        """Take the next bytes and return the messages that are complete with them.
+        """Add the next bytes and return the messages that they complete.
 
         Returns:
-            The messages in their order. A `DecodeError` may stand last; after it nothing more is decoded.
+            The messages in order. The last one may be a `DecodeError`, after which nothing more is decoded.
         """
         results: list[Message | DecodeError] = []
         self._buffer += data
--- a/valeturn/cluster/commands.py
+++ b/valeturn/cluster/commands.py
@@ -19,16 +19,16 @@
 SUCCESS = 0
 FAILURE = 1
 USAGE = 2
-STALE = 3  # the fencing token is lower than one that was seen
-# Lines of a command's output that are shown.
+STALE = 3  # the fencing token is lower than one that was used before
+# Maximum lines of a command's output that are shown.
 SHOWN_LINES = 5
 
 
 def run(arguments: Mapping[str, Any]) -> int:
-    """Carry out the command and return its exit code.
+    """Run the command and return its exit code.
 
     Args:
-        arguments: what docopt has parsed.
+        arguments: the command line as docopt parsed it.
     """
     if arguments["fenced-replace"]:
         return fenced_replace(arguments["FILE"], arguments["--fence"], sys.stdin.buffer)
@@ -46,10 +46,10 @@
 
 
 def send_request(paths: list[str], action: str, server: str | None) -> int:
-    """Send a request to the servers behind some control sockets and print their answers.
+    """Send a request to each server by its control socket and print the answers.
 
     Returns:
-        SUCCESS where all servers have done it, else FAILURE.
+        SUCCESS where all servers carried it out, else FAILURE.
     """
     request = {"do": "fleet", "what": action, "server": server}
     exit_code = SUCCESS
@@ -64,10 +64,10 @@
 
 
 def status(paths: list[str], as_json: bool) -> int:
-    """Print the status of the cluster as the servers behind some control sockets see it.
+    """Print the status of the cluster as reported by each server at its control socket.
 
     Returns:
-        SUCCESS where all servers have answered and know a leader, else FAILURE.
+        SUCCESS where all servers answered and know a leader, else FAILURE.
     """
     exit_code = SUCCESS
     for path in paths:
@@ -131,11 +131,11 @@
 
     Args:
         path: the file.
-        token_text: the token as it was given, or None for that of the environment.
-        source: where the file's new content is read from.
+        token_text: the token from the command line, or None for that of the environment.
+        source: the stream with the file's new content.
 
     Returns:
-        SUCCESS; STALE where a higher token was seen; USAGE where the token is no number; else FAILURE.
+        SUCCESS; STALE where a higher token was used; USAGE where the token is not a number; else FAILURE.
     """
     text = token_text if token_text is not None else os.environ.get("VALETURN_FENCE", "")
     if not text.isascii() or not text.isdigit() or int(text) > fencing.HIGHEST_TOKEN:
--- a/valeturn/cluster/failure_detector.py
+++ b/valeturn/cluster/failure_detector.py
@@ -14,32 +14,32 @@
 from .member_table import Member, MemberTable
 from .suspicion import LocalHealth
 
-PROBE_INTERVAL = 1.0  # s between probes, as both papers have it
-# The part of an interval that a direct answer may take: ten round trips of a slow network, which leaves time
+PROBE_INTERVAL = 1.0  # seconds between probes, as in both papers
+# Fraction of an interval allowed for a direct answer: ten round trips of a slow network, which leaves time
 # for the indirect probes.
 DIRECT_TIMEOUT_SHARE = 0.3
-INDIRECT_PROBERS = 3  # members that are asked to probe for this one; more gain little, says SWIM
+INDIRECT_PROBERS = 3  # members that are requested to probe; according to SWIM, more gain little
 
 
 class Sender(Protocol):
     """Queues a message to a member, with updates piggybacked on it."""
 
     def __call__(self, member: Member, kind: str, fields: list[Any], recipient: Member | None = None) -> None:
-        """Queue the message; a recipient's own state goes first among the updates."""
+        """Queue the message; the recipient's own state is first among the updates."""
 
 
 class Probe:
-    """This server's probe of one member, while it is under way."""
+    """This server's current probe of one member."""
 
     __slots__ = ("deadline", "indirect_at", "indirect_sent", "member_name", "nacks", "requests", "sequence")
 
     def __init__(self, sequence: int, member_name: str, indirect_at: float, deadline: float) -> None:
         self.sequence = sequence
         self.member_name = member_name
-        self.indirect_at = indirect_at  # s of this server's clock
-        self.deadline = deadline  # s of this server's clock
+        self.indirect_at = indirect_at  # seconds of this server's clock
+        self.deadline = deadline  # seconds of this server's clock
         self.indirect_sent = False
-        self.requests = 0  # ping requests that were sent
+        self.requests = 0  # number of ping requests sent
         self.nacks = 0
 
 
@@ -48,12 +48,12 @@
 
     requester: str
     requester_sequence: int
-    deadline: float  # s of this server's clock
+    deadline: float  # seconds of this server's clock
     target: str
 
 
 def shuffled(names: list[str], random_source: SeededRandom) -> list[str]:
-    """Return the names in a random order that depends on the set of names and the random source alone."""
+    """Return the names in a random order that depends only on the set of names and the random source."""
     names = sorted(names)
     for index in range(len(names) - 1, 0, -1):
         other = int(random_source.random() * (index + 1))
@@ -64,7 +64,7 @@
 def random_members(
     table: MemberTable, count: int, random_source: SeededRandom, without: str | None = None
 ) -> list[Member]:
-    """Return up to `count` members that are alive, but the one of the name `without`."""
+    """Return up to `count` random members that are alive, except the one named `without`."""
     names = [
         member.name for member in table.by_name.values() if member.state == ALIVE and member.name != without
     ]
@@ -83,7 +83,7 @@
         now: float,
         interval: float,
     ) -> None:
-        self.interval = interval  # s between probes, while this server is healthy
+        self.interval = interval  # seconds between probes, while this server is healthy
         self.sequence = 0  # of the last ping
         self.relayed_probes: dict[int, RelayedProbe] = {}  # by the sequence number of this server's ping
         self._table = table
@@ -95,21 +95,21 @@
         self._probe_order: list[str] = []
 
     def ping(self, member: Member) -> int:
-        """Ping a member, its own state first among the updates, and return the sequence number."""
+        """Ping a member, with its own state first among the updates, and return the sequence number."""
         sequence = self.next_sequence()
         self._send(member, PING, [sequence], member)
         return sequence
 
     def next_sequence(self) -> int:
-        """Return the sequence number for one more ping."""
+        """Return the sequence number for the next ping."""
         self.sequence += 1
         return self.sequence
 
     def continue_probe(self, now: float) -> Member | None:
-        """Let the probe under way go on: indirect probes once the direct one is late, then its end.
+        """Continue the current probe: send indirect probes if the direct one is late; end it at its deadline.
 
         Returns:
-            A member that is to be suspected because nobody got an answer from it, or None.
+            A member to suspect, because neither this server nor others got an answer from it; otherwise None.
         """
         probe = self._probe
         if probe is None:
@@ -119,7 +119,7 @@
             self._probe = None
         elif now >= probe.deadline:
             self._probe = None
-            # A nack proves that its sender was reachable; one that is missing points at this server itself.
+            # A nack proves that its sender was reachable; a missing one indicates a fault of this server.
             self._health.adjust(1 + max(0, probe.requests - probe.nacks) if probe.requests else 1)
             return member
         elif not probe.indirect_sent and now >= probe.indirect_at:
@@ -127,7 +127,7 @@
         return None
 
     def start_due_probe(self, now: float) -> None:
-        """Start the next probe if none is under way and the interval is over."""
+        """Start the next probe if none is running and the interval is over."""
         if self._probe is None and now >= self._next_probe_at:
             self._start_probe(now)
 
@@ -142,13 +142,13 @@
             if requester is not None:
                 self._send(requester, NACK, [relayed.requester_sequence])
 
-    # ---- the probe under way
+    # ---- the current probe
 
     def _stretched_interval(self) -> float:
         return self.interval * self._health.multiplier
 
     def _start_probe(self, now: float) -> None:
-        """Probe the next member of an order that is drawn anew each round: each is probed once a round."""
+        """Probe the next member of a random order, which is redrawn each round and has each member once."""
         interval = self._stretched_interval()
         self._next_probe_at = now + interval
         while self._probe_order:
@@ -179,7 +179,7 @@
             self._send(member, ACK, [fields[0]])
 
     def receive_ping_request(self, now: float, sender: str, fields: list[Any]) -> None:
-        """Probe a member for one that can't reach it; an ack or a nack is sent back."""
+        """Probe a member on behalf of one that can't reach it; an ack or a nack is sent back."""
         match fields:
             case [sequence, str(name), _address] if is_sequence(sequence):
                 target = self._table.get(name)
@@ -191,7 +191,7 @@
         self.relayed_probes[self.ping(target)] = RelayedProbe(sender, sequence, deadline, target.name)
 
     def receive_ack(self, sender: str, fields: list[Any]) -> None:
-        """Finish this server's probe, or pass the ack on to the member that asked for it."""
+        """Finish this server's probe, or forward the ack to the member that requested the probe."""
         sequence = fields[0] if fields else None
         if not is_sequence(sequence):
             return
@@ -207,11 +207,11 @@
                 self._send(requester, INDIRECT_ACK, [relayed.requester_sequence, relayed.target])
 
     def receive_indirect_ack(self, fields: list[Any]) -> None:
-        """Finish this server's probe: a member that it asked was answered."""
+        """Finish this server's probe: the probed member answered another one."""
         if self._probe is not None and fields == [self._probe.sequence, self._probe.member_name]:
             self._probe_succeeded()
 
     def receive_nack(self, fields: list[Any]) -> None:
-        """Count a member that was asked and is reachable, though the probed one did not answer it."""
+        """Count a nack: the requested member is reachable, but the probed one did not answer it."""
         if self._probe is not None and fields == [self._probe.sequence]:
             self._probe.nacks += 1
--- a/valeturn/cluster/fencing.py
+++ b/valeturn/cluster/fencing.py
@@ -1,9 +1,9 @@
-"""Fencing tokens: a resource rejects a token lower than the highest one that it has seen.
+"""Fencing tokens: a resource rejects a token lower than the highest one that it has received.
 
 A lease alone does not exclude a delayed effect of an earlier lease holder; a token that rises with every
 grant does (Kleppmann, "How to do distributed locking"). `FencingTokens` keeps the highest tokens of one
-process in memory. A file has its token beside it, in `FILE.fence`, which is locked and made durable before
-the file is changed: a lease holder that was superseded finds the higher token there.
+process in memory. A file's token is stored next to it in `FILE.fence`, which is locked and made durable
+before the file is changed: a superseded lease holder finds the higher token there.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 
 # The largest token: a signed 64-bit integer, so that resources can store it in a database column.
 HIGHEST_TOKEN = 2**63 - 1
-# Resources whose tokens one process remembers: twice the singleton tasks that a cluster may have.
+# Maximum resources whose tokens one process stores: twice the singleton tasks that a cluster may have.
 REMEMBERED_RESOURCES = 64
-# Bytes read from a token file: more than the 25 of its one line.
+# Bytes read from a token file: more than the 25 of its only line.
 TOKEN_FILE_BYTES = 32
 
 
 class StaleTokenError(ValeturnError):
-    """A fencing token is lower than one that the resource has already seen.
+    """A fencing token is lower than one that the resource has already received.
 
     Attributes:
         token: the rejected token.
-        highest_seen: the highest token that the resource has seen.
+        highest_seen: the highest token that the resource has received.
     """
 
     def __init__(self, token: int, highest_seen: int) -> None:
@@ -38,7 +38,7 @@
 
 
 class FencingTokens:
-    """The highest fencing token seen for each named resource, in memory."""
+    """The highest fencing token received for each named resource, in memory."""
 
     def __init__(self, capacity: int = REMEMBERED_RESOURCES) -> None:
         self.capacity = capacity
@@ -46,10 +46,10 @@
         self.rejected_count = 0
 
     def accept(self, name: str, token: int) -> bool:
-        """Return whether an effect under this token is allowed, and remember the token if so.
+        """Return whether an effect under this token is allowed, and store the token if so.
 
-        A token for a resource beyond the capacity is rejected: forgetting another resource's token instead
-        would let a superseded lease holder pass.
+        A token for a resource beyond the capacity is rejected: discarding another resource's token instead
+        would let a superseded lease holder through.
         """
         is_full = name not in self.highest_seen and len(self.highest_seen) >= self.capacity
         if is_full or token < self.highest_seen.get(name, 0):
@@ -98,7 +98,7 @@
         if self.token < highest_seen:
             raise StaleTokenError(self.token, highest_seen)
         if self.token > highest_seen:
-            # All tokens have one length: a torn write never leaves the digits of a lower token.
+            # Tokens are padded to one length: a torn write never leaves the digits of a lower token.
             os.pwrite(self.descriptor, b"%-24d\n" % self.token, 0)
             os.fsync(self.descriptor)
 
@@ -107,7 +107,7 @@
     """Replace a file atomically and durably under a fencing token.
 
     Raises:
-        StaleTokenError: a higher token was seen; the file is as it was.
+        StaleTokenError: a higher token was received before; the file is unchanged.
         OSError: the file or its token cannot be written.
     """
     with FencedFile(path, token):
--- a/valeturn/cluster/gossip.py
+++ b/valeturn/cluster/gossip.py
@@ -1,4 +1,4 @@
-"""Updates that are still to be disseminated, piggybacked on other messages.
+"""The queue of updates to disseminate, which are piggybacked on other messages.
 
 SWIM's infection-style dissemination (section 4.1): each update is sent a number of times that grows with the
 logarithm of the cluster's size, the least often sent first.
@@ -12,11 +12,11 @@
 from .member_messages import SUSPECTED, WireUpdate
 from .member_table import Member
 
-RETRANSMIT_MULTIPLIER = 4.0  # times the log (to ten) of the number of members that an update is sent
+RETRANSMIT_MULTIPLIER = 4.0  # transmissions of an update, times the base-10 logarithm of the member count
 
 
 class _Broadcast:
-    """An update and how many times it was sent."""
+    """An update and the number of times it was sent."""
 
     __slots__ = ("transmissions", "update")
 
@@ -26,7 +26,7 @@
 
 
 class GossipQueue:
-    """The newest update about each member, until it was sent often enough."""
+    """The latest update about each member, until it was sent often enough."""
 
     def __init__(self) -> None:
         self._broadcasts: dict[str, _Broadcast] = {}
@@ -35,7 +35,7 @@
         return len(self._broadcasts)
 
     def enqueue(self, member: Member) -> None:
-        """Disseminate a member's record, in place of any earlier one."""
+        """Queue a member's record for dissemination, replacing an earlier one."""
         self._broadcasts[member.name] = _Broadcast(member.to_wire())
 
     def discard(self, name: str) -> None:
@@ -45,13 +45,13 @@
     def piggyback(self, local: Member, member_count: int, recipient: Member | None) -> list[WireUpdate]:
         """Return the updates for one message, at most GOSSIP, and count them as sent.
 
-        A suspicion of the recipient always comes along, so that it can be refuted at once: Lifeguard's buddy
-        system.
+        A suspicion of the recipient is always included, so that the recipient can refute it immediately
+        (Lifeguard's buddy system).
 
         Args:
-            local: this server's own record, which is always the first.
+            local: this server's own record, which is always first.
             member_count: the number of other members.
-            recipient: the member that is probed, or None where its own state need not come first.
+            recipient: the probed member, or None where its own state need not be first.
         """
         limit = RETRANSMIT_MULTIPLIER * math.ceil(math.log10(2 + member_count))
         chosen = sorted(
--- a/valeturn/cluster/leadership.py
+++ b/valeturn/cluster/leadership.py
@@ -1,4 +1,4 @@
-"""Transfer the leadership to another voter, once the leader's commands have ended."""
+"""Transfers the leadership to another voter, once the leader's commands have ended."""
 
 from __future__ import annotations
 
@@ -11,49 +11,49 @@
 
 
 class LeadershipTransfer:
-    """One node's transfers; at most one is under way."""
+    """The leadership transfers of one node; at most one is in progress."""
 
     def __init__(self, node: ClusterNode) -> None:
         self._node = node
-        self._target: str | None = None  # a server's name, or ANY_SUCCESSOR; None where none is under way
+        self._target: str | None = None  # a server's name, or ANY_SUCCESSOR; None without a transfer
 
     @property
     def under_way(self) -> bool:
-        """Whether a transfer waits for the commands of singleton tasks to end."""
+        """Whether a transfer is waiting for the commands of singleton tasks to end."""
         return self._target is not None
 
     def begin(self, to: str | None = None) -> str | None:
-        """Begin to transfer the leadership, and return why it can't be, or None.
+        """Begin to transfer the leadership; return None, or the reason why it can't be transferred.
 
         Args:
-            to: The successor, which must have all entries; None for any that has.
+            to: The successor, which must have all entries; None for any voter that has them.
         """
         node = self._node
         now = node.clock()
         if not node.leads(now):
             return node.not_the_leader()
-        fit = self._successors()
-        if to is not None and to not in fit:
+        successors = self._successors()
+        if to is not None and to not in successors:
             return f"{to} has not all that is committed"
-        if not fit:
+        if not successors:
             return "no other voter has all that is committed"
         self._target = to or ANY_SUCCESSOR
         node.carry_out_tasks(node.singleton_tasks.tick(now, None))
-        self.go_on(now, node.raft.durable.term)
+        self.continue_transfer(now, node.raft.durable.term)
         return None
 
-    def go_on(self, now: float, term: int | None) -> None:
-        """Transfer once all that the tasks started is gone; the lease goes on until then.
+    def continue_transfer(self, now: float, term: int | None) -> None:
+        """Transfer once all processes of the tasks have ended; the lease is renewed until then.
 
-        Where the successor that was named is fit no more, another one is taken.
+        If the named successor no longer has all entries, another one is chosen.
         """
         node = self._node
         if term is None:
             self._target = None
         elif not node.task_processes.running:
-            fit = self._successors()
-            if fit:
-                target = self._target if self._target in fit else node.random_member(fit)
+            successors = self._successors()
+            if successors:
+                target = self._target if self._target in successors else node.random_member(successors)
                 node.carry_out(node.raft.transfer_leadership(now, target))
                 self._target = None
 
--- a/valeturn/cluster/limits.py
+++ b/valeturn/cluster/limits.py
@@ -1,30 +1,30 @@
-"""Limits of all that a cluster's modules store, with how each figure was chosen."""
+"""Limits of the data that a cluster's modules store, with the reason for each."""
 
-# Members known at once, dead ones included: a thousand servers are the largest cluster aimed at.
+# Members known at once, including dead ones: the largest supported cluster has a thousand servers.
 MEMBERS = 1024
-# Bytes of a message: the replicated state of a release over a thousand servers. A list of MEMBERS comes in
+# Bytes of a message: the replicated state with a thousand maintenance requests. A list of MEMBERS is sent in
 # several messages.
 MESSAGE = 131072
 # Membership updates in one message: 60 bytes each, so that a message stays under half a kilobyte.
 GOSSIP = 8
 # Members in one message of a full list: with the longest names it stays under MESSAGE.
 SYNCED = 32
-# Characters of a name, a zone or an address.
+# Maximum characters of a name, a zone or an address.
 ADDRESS = 64
 # Bytes queued for one connection: two of the longest messages.
 QUEUED_BYTES = 262144
 # Messages queued for one connection: more than a leader sends in several leases.
 QUEUED = 128
-# Bytes that one connection has not sent before messages wait in the queue: what a peer reads at once.
+# Unsent bytes of one connection above which messages stay in the queue: what a peer reads at once.
 UNSENT = 65536
-# Connections open at once. Past it the one that was idle longest is closed, so that more servers are reached
-# one after the other.
+# Connections open at once. Above this the one that was idle longest is closed, so that a server can still
+# reach more servers one after another.
 LINKS = 256
-# Voters: more make each commit slower and no cluster safer.
+# Maximum voters: more make each commit slower and the cluster no safer.
 VOTERS = 9
-# Singleton tasks in the operator's file.
+# Maximum singleton tasks in the operator's file.
 SINGLETON_TASKS = 32
-# Bytes kept of what a task's command printed last: some twenty lines.
+# Bytes kept of the end of a task command's output: about twenty lines.
 OUTPUT_TAIL = 2000
-# Bits of a fencing token below its epoch: a grant a second for eight years.
+# Bits of a fencing token below its epoch: enough for a grant per second for eight years.
 EPOCH_BITS = 28
--- a/valeturn/cluster/member_messages.py
+++ b/valeturn/cluster/member_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which servers keep their membership: kinds on the wire and what a message carries.
+"""The messages of the membership protocol: kinds on the wire and fields.
 
 The kind strings and the order of the fields are those of every released version, so they must not change; the
 names of the constants are the terms of SWIM and of hashicorp's memberlist.
@@ -10,7 +10,7 @@
 
 from .limits import ADDRESS
 
-# Kinds of messages, as they stand on the wire.
+# Kinds of messages on the wire.
 PING = "ping"
 PING_REQUEST = "ask"  # "probe that member for me", SWIM's ping-req
 ACK = "ack"
@@ -19,16 +19,18 @@
 PUSH_PULL = "sync"  # a part of the sender's whole member list
 GOSSIP = "news"  # nothing but piggybacked updates
 
-# States of a member. They are plain integers because they go over the wire as they are.
+# States of a member: plain integers, as they are sent on the wire.
 UNKNOWN = 0  # never on the wire: no record of the member
 ALIVE = 1
 SUSPECTED = 2
 DEAD = 3
 LEFT = 4
 
-COUNTER_LIMIT = 2**62  # generations and incarnations stay below it, so that a successor still fits 64 bits
+COUNTER_LIMIT = (
+    2**62
+)  # generations and incarnations are below this, so that an incremented one still fits 64 bits
 
-WireUpdate = list[Any]  # a member update as it is packed: see `MemberUpdate`
+WireUpdate = list[Any]  # a packed member update; see `MemberUpdate`
 
 
 class MemberUpdate(NamedTuple):
@@ -39,7 +41,7 @@
     zone: str
     suspected_by: str  # the member whose own probe failed; empty unless the state is SUSPECTED
     generation: int  # of the member's process: larger at each start
-    incarnation: int  # SWIM's: the member raises it to refute what is said about it
+    incarnation: int  # SWIM's: the member increments it to refute a suspicion
     state: int
 
 
@@ -53,7 +55,7 @@
 
 
 def read_update(value: object) -> MemberUpdate | None:
-    """Return the update that a received value stands for, or None if it is malformed."""
+    """Return the update that a received value encodes, or None if it is malformed."""
     if not isinstance(value, list) or len(value) != len(MemberUpdate._fields):
         return None
     update = MemberUpdate(*value)
@@ -70,7 +72,7 @@
 
 
 def is_sequence(value: object) -> TypeGuard[int]:
-    """Return whether a received value is a probe's sequence number: true and false are none."""
+    """Return whether a received value is a probe's sequence number; true and false are not."""
     return type(value) is int
 
 
--- a/valeturn/cluster/member_table.py
+++ b/valeturn/cluster/member_table.py
@@ -2,8 +2,8 @@
 
 After "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol" (Das, Gupta,
 Motivala), section 4.2: which of two statements about a member overrides the other. SWIM's order by
-incarnation number is extended by a generation, which rises at each start of a member's process: a statement
-about a later generation overrides all about earlier ones.
+incarnation number is extended by a generation, which increases at each start of a member's process: a
+statement about a later generation overrides all statements about earlier ones.
 """
 
 from __future__ import annotations
@@ -18,15 +18,17 @@
 # The words that `status` prints for the states, by state.
 STATE_NAMES = ("unknown", "alive", "suspected", "gone", "left")
 
-# Precedence of an update over what is known: of a newer generation, or of the same generation and a newer,
-# the same or an older incarnation. An update about an older generation counts as OLDER.
+# Precedence of an update over the known record: a newer generation, or the same generation with a newer, the
+# same or an older incarnation. An update about an older generation counts as OLDER.
 NEW_GENERATION, NEWER, SAME, OLDER = range(4)
 
-FORGET_AFTER = 120.0  # s that a dead or departed member is remembered; far longer than an update spreads
+FORGET_AFTER = (
+    120.0  # seconds that a dead or departed member is kept; far longer than an update takes to spread
+)
 
 
 class Effect(StrEnum):
-    """What an update does beyond replacing the member's record."""
+    """The effect of an update besides replacing the member's record."""
 
     JOINED = "joined"
     SUSPECTED = "suspected"
@@ -37,7 +39,7 @@
     DEAD = "dead"
     LEFT = "left"
     NAME_CONFLICT = "name_conflict"  # another server uses this server's name
-    RECORDED = "recorded"  # nothing that is reported
+    RECORDED = "recorded"  # not reported
 
 
 # (known state, stated state, precedence) -> effect; the next state is the stated one. A combination that is
@@ -75,7 +77,7 @@
 
 
 class Member(NamedTuple):
-    """One server of the cluster as it is known here."""
+    """One server of the cluster as known here."""
 
     name: str
     address: str  # host:port on which it accepts its peers
@@ -83,7 +85,7 @@
     generation: int  # of its process: larger at each start
     incarnation: int  # SWIM's, within the generation
     state: int
-    since: float  # s, of this server's clock, at which it entered this state
+    since: float  # seconds of this server's clock at which it entered this state
     suspected_by: str = ""  # the member whose own probe failed
 
     def update(self) -> MemberUpdate:
@@ -104,7 +106,7 @@
 
 
 class MemberChange(NamedTuple):
-    """What an update did to a member, or NAME_CONFLICT for this server's own name."""
+    """A reported change of a member, or NAME_CONFLICT for this server's own name."""
 
     name: str
     effect: Effect
@@ -112,7 +114,7 @@
 
 
 def precedence(known: Member | None, generation: int, incarnation: int) -> int:
-    """Return how an update of these numbers relates to what is known."""
+    """Return the precedence of an update with these numbers over the known record."""
     if known is None or generation > known.generation:
         return NEW_GENERATION
     if generation < known.generation or incarnation < known.incarnation:
@@ -121,7 +123,7 @@
 
 
 class MemberTable:
-    """All known members but this server itself: at most MEMBERS."""
+    """All known members except this server: at most MEMBERS."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, Member] = {}
--- a/valeturn/cluster/membership.py
+++ b/valeturn/cluster/membership.py
@@ -4,8 +4,8 @@
 Motivala), "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (Dadgar, Phillips, Currey)
 and hashicorp's memberlist, which adds push-pull synchronization of whole member lists.
 
-`receive` and `tick` return the messages to send; `take_changes` returns what became of members since it was
-called last.
+`receive` and `tick` return the messages to send; `take_changes` returns the changes of members since its last
+call.
 """
 
 from __future__ import annotations
@@ -38,24 +38,24 @@
 from .member_table import Effect, Member, MemberChange, MemberTable
 from .suspicion import LocalHealth, Suspicion, suspicion_timeout
 
-# Probe intervals between messages of updates alone, while there are some: five rounds an interval, as
-# memberlist has it, so that a suspicion and its refutation spread well within the least suspicion timeout.
+# Probe intervals between messages that carry only updates, while there are any: five rounds per interval, as
+# in memberlist, so that a suspicion and its refutation spread well within the shortest suspicion timeout.
 GOSSIP_INTERVALS = 0.2
-GOSSIP_FANOUT = 2  # members that each such message goes to
-PUSH_PULL_INTERVAL = 30.0  # s between whole lists with one other member, which heal what gossip missed
+GOSSIP_FANOUT = 2  # members that receive each such message
+PUSH_PULL_INTERVAL = 30.0  # seconds between exchanges of the whole list, which repair what gossip missed
 
 
 class MemberIdentity(NamedTuple):
-    """How a server introduces itself."""
+    """The identity that a server announces."""
 
     name: str
     address: str  # host:port on which it accepts its peers
     zone: str
-    generation: int  # larger than that of any earlier start, as far as the server can tell
+    generation: int  # larger than at any earlier start, as far as the server can tell
 
 
 class Membership:
-    """This server's view of the cluster, and its part in keeping everybody's."""
+    """This server's view of the cluster's members, and its part of the membership protocol."""
 
     def __init__(
         self,
@@ -68,11 +68,11 @@
         """Start to join the cluster.
 
         Args:
-            identity: of this server. If others know a larger generation of its name, it takes one above that.
-            seeds: addresses (host:port) by which to join.
-            random_source: decides who is probed when, and who receives gossip.
-            now: s of this server's clock.
-            probe_interval: s between probes.
+            identity: this server's. If others know a larger generation of its name, it adopts one above that.
+            seeds: addresses (host:port) of servers to join by.
+            random_source: selects the members that are probed and that receive gossip.
+            now: seconds of this server's clock.
+            probe_interval: seconds between probes.
         """
         self.probe_interval = probe_interval
         self.local = Member(*identity, incarnation=0, state=ALIVE, since=now)
@@ -92,15 +92,15 @@
         self._next_join_at = now
         self._next_gossip_at = now
 
-    # ---- what others ask
+    # ---- queries
 
     @property
     def members(self) -> dict[str, Member]:
-        """All known members but this server, by name."""
+        """All known members except this server, by name."""
         return self.table.by_name
 
     def alive(self) -> list[str]:
-        """Return the sorted names of the members that are alive or suspected, this server's among them."""
+        """Return the sorted names of the members that are alive or suspected, including this server's."""
         return sorted([self.local.name, *(member.name for member in self.table.live())])
 
     def get(self, name: str) -> Member | None:
@@ -114,13 +114,13 @@
         return taken
 
     def suspicion_timeout(self, confirmations: int) -> float:
-        """Return the time from a suspicion to a death in seconds, after so many independent confirmations."""
+        """Return the seconds from a suspicion to the member's death, given the independent confirmations."""
         return suspicion_timeout(
             1 + self.table.live_count(), confirmations, self.probe_interval, self.health.multiplier
         )
 
     def leave(self, now: float) -> list[OutgoingMessage]:
-        """Leave the cluster on purpose, and return the messages that announce it."""
+        """Leave the cluster deliberately, and return the messages that announce it."""
         self._leaving = True
         incarnation = self.local.incarnation + 1
         self.local = self.local._replace(state=LEFT, incarnation=incarnation, since=now)
@@ -157,7 +157,7 @@
             if now - suspicion.since >= self.suspicion_timeout(suspicion.confirmations):
                 self._apply(now, member._replace(state=DEAD).update())
             elif now - suspicion.last_ping_at >= self.probe_interval:
-                # Gossip may miss the member, which could then not refute the suspicion: it is pinged itself.
+                # Gossip may miss the member, which could then not refute the suspicion: ping it directly.
                 suspicion.last_ping_at = now
                 self.failure_detector.ping(member)
 
@@ -178,14 +178,14 @@
     def _push_pull_if_due(self, now: float) -> None:
         if now < self._next_push_pull_at:
             return
-        # The interval varies by a quarter both ways, so that servers don't keep step.
+        # The interval varies by a quarter up and down, so that servers are not synchronized.
         self._next_push_pull_at = now + PUSH_PULL_INTERVAL * (0.75 + 0.5 * self._random_source.random())
         for member in self._random_members(1):
             self._send_member_list(member, wants_reply=True)
-        self._join_by_lost_seed()
+        self._join_by_unknown_seed()
 
-    def _join_by_lost_seed(self) -> None:
-        """Try a seed that is not known to be alive: after a long partition each side forgot the other."""
+    def _join_by_unknown_seed(self) -> None:
+        """Join by a seed that is not known to be alive: a long partition makes each side forget the other."""
         live_addresses = {member.address for member in self.table.live()}
         lost = [seed for seed in self._seeds if seed not in live_addresses]
         if lost:
@@ -200,14 +200,14 @@
     def receive(
         self, now: float, sender: str, generation: int, kind: str, fields: list[Any]
     ) -> list[OutgoingMessage]:
-        """Take a peer's message and return the messages to send; what is malformed is ignored.
+        """Handle a peer's message and return the messages to send; malformed messages are ignored.
 
         Args:
-            now: s of this server's clock.
+            now: seconds of this server's clock.
             sender: the peer's name.
-            generation: the peer's, by which messages of its earlier starts are ignored.
+            generation: the peer's generation; messages of its earlier starts are ignored.
             kind: one of KINDS; others are ignored.
-            fields: as they were received, unchecked; the last one is the list of updates.
+            fields: the received fields, unchecked; the last one is the list of updates.
         """
         self._outgoing = []
         handler = self.KINDS.get(kind)
@@ -238,7 +238,7 @@
         self.failure_detector.receive_nack(fields)
 
     def _on_push_pull(self, now: float, sender: str, fields: list[Any]) -> None:
-        """Merge a peer's member list, and answer with this server's if it asks for it."""
+        """Merge a peer's member list, and reply with this server's if requested."""
         match fields:
             case [wants_reply, list(updates)]:
                 self._apply_all(now, updates[:SYNCED])
@@ -249,7 +249,7 @@
             self._send_member_list(member, wants_reply=False)
 
     def _on_gossip(self, now: float, sender: str, fields: list[Any]) -> None:
-        """Do nothing more: the updates of every message are applied before it is handled."""
+        """Do nothing: the updates of a message are applied before its handler is called."""
 
     KINDS: dict[str, Callable[[Membership, float, str, list[Any]], None]] = {
         PING: _on_ping,
@@ -301,7 +301,7 @@
             self._changes.append(MemberChange(local.name, Effect.NAME_CONFLICT, other))
             return
         if update.generation > local.generation:
-            # Of an earlier start: the clock that generations are taken from was set back since.
+            # The update is about an earlier start: the clock for generations was set back since.
             self.local = local._replace(generation=update.generation + 1, incarnation=0)
             self.gossip.enqueue(self.local)
         elif (
@@ -322,7 +322,7 @@
         return [self.local.to_wire(), *(member.to_wire() for member in self.members.values())]
 
     def _send_member_list(self, member: Member, wants_reply: bool) -> None:
-        """Send all members in messages of SYNCED each, of which the first may ask for the other's list."""
+        """Send all members in messages of SYNCED each; the first may request the other's list."""
         updates = self._member_list()
         for start in range(0, len(updates), SYNCED):
             self._send(member, PUSH_PULL, [wants_reply and start == 0, updates[start : start + SYNCED]])
--- a/valeturn/cluster/node.py
+++ b/valeturn/cluster/node.py
@@ -1,9 +1,8 @@
-"""One server's node of the cluster: carries out on the loop what membership, Raft, tasks and quota decide.
+"""One server's node of the cluster: carries out the decisions of membership, Raft, tasks and quota.
 
-Everything goes through one object in the loop's own turns: nothing here waits but the tasks of connections
-and the thread of the disk. An effect on behalf of the cluster looks at the lease right before it is had
-(`acts`). What operators ask for stands in leadership.py and voter_changes.py, what they are shown in
-node_status.py.
+All calls come from the event loop; only the tasks of connections and the disk's worker thread block. Every
+effect on behalf of the cluster checks the lease immediately before (`acts`). Operators' requests are in
+leadership.py and voter_changes.py, the status in node_status.py.
 """
 
 from __future__ import annotations
@@ -36,40 +35,40 @@
 from .voter_changes import VoterChanges
 
 TICKS_PER_LEASE = 12
-LONGEST_TICK = 0.1  # s, whatever the lease
-# Leases between announcements of a server without durable state, and of the state to those that do not vote.
+MAX_TICK_S = 0.1  # between ticks, whatever the lease
+# Leases between announcements of a server without durable state, and of the state to non-voting servers.
 ANNOUNCEMENT_INTERVAL = 0.5
-REMINDER_INTERVAL = 5.0  # s after which a state that has not changed is sent again: a message may be lost
-RANDOM_RECEIVERS = 3  # of the announcement of a server that knows no leader
-BOOTSTRAP_REMINDER_TIME = 600.0  # s after its start for which a founder tells the others whom it founded with
-RANDOM_WARM_UP_DRAWS = 8  # the first numbers of near seeds are alike
-CLOSE_TIMEOUT = 0.01  # s that the disk's thread has at least
+REMINDER_INTERVAL = 5.0  # seconds after which an unchanged state is sent again: a message may be lost
+RANDOM_RECEIVERS = 3  # receivers of the announcement of a server that knows no leader
+BOOTSTRAP_REMINDER_TIME = 600.0  # seconds after its start for which a founder announces the set of founders
+RANDOM_WARM_UP_DRAWS = 8  # the first numbers of similar seeds are similar
+CLOSE_TIMEOUT = 0.01  # minimum seconds for the worker thread to finish
 NEVER = -1e9
 BLANK_MESSAGE = "blank"
 STATE_MESSAGE = "facts"
-ROW_LENGTH = 3  # of a server's row in an announcement: name, incarnation, lowest fencing token
+ROW_LENGTH = 3  # fields of a server's record in an announcement: name, incarnation, lowest fencing token
 
 Log = Callable[..., None]
 
 
 def boot_clock() -> float:
-    """Return the seconds since the machine came up, through suspend: no wall clock decides anything here."""
+    """Return the seconds since boot, including suspend: no decision depends on a wall clock."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class Seams(NamedTuple):
-    """What a laboratory may put in place of clocks, connections and the vote's directory."""
+    """Clocks, connections and the vote's directory, which simulations replace."""
 
     clock: Callable[[], float] = boot_clock
-    to_boot: Callable[[float], float] = float  # a time of `clock` by the boot clock
+    to_boot: Callable[[float], float] = float  # converts a time of `clock` to the boot clock
     dial: Any = connect
     folder: Any = vote_file.VoteDirectory
-    wall: Callable[[], float] = time.time  # for the number of an incarnation alone
+    wall: Callable[[], float] = time.time  # only for the numbers of incarnations
     peer_connections: Any = PeerConnections
 
 
 class KnownState(NamedTuple):
-    """What this server knows of the cluster's state."""
+    """The cluster's state as known to this server."""
 
     term: int
     state: ClusterState
@@ -77,14 +76,14 @@
 
 
 class ReceivedState(NamedTuple):
-    """What a leader sent to a server that does not vote."""
+    """The state that a leader sent to a non-voting server."""
 
     known: KnownState
     received_at: float
 
 
 class SentState(NamedTuple):
-    """Which state a server that does not vote was sent last."""
+    """The state that was last sent to a non-voting server."""
 
     term: int
     commit_index: int
@@ -92,18 +91,18 @@
 
 
 class Subsystem(Protocol):
-    """What stands on top of the cluster, with messages of its own."""
+    """A subsystem that uses the cluster and has messages of its own."""
 
     KINDS: ClassVar[dict[str, Callable[..., None]]]
 
     def tick(self, now: float, term: int | None) -> None:
-        """Let time pass; `term` is that of this server's leadership, or None."""
+        """Do what is due; `term` is that of this server's leadership, or None."""
 
 
 class ClusterNode:
     """This server's membership, its vote and leadership, its singleton tasks and its quota of calls."""
 
-    def __init__(  # noqa: PLR0913, PLR0915, PLR0917 - what a server has for each of its components
+    def __init__(  # noqa: PLR0913, PLR0915, PLR0917 - the dependencies that a server passes to each component
         self,
         options: ClusterOptions,
         name: str,
@@ -130,8 +129,8 @@
         self.vote_directory: vote_file.VoteDirectory | None = None
         generation = int(1000 * self.seams.wall())
         stored = self._read_vote()
-        # The vote's incarnation is its directory's; each start has a generation of its own as a member.
-        self.vote_life = generation if stored is None else stored.incarnation
+        # The vote's incarnation belongs to the directory; as a member, each start has a new generation.
+        self.vote_incarnation = generation if stored is None else stored.incarnation
         self.random_source = SeededRandom(seed ^ generation)
         for _ in range(RANDOM_WARM_UP_DRAWS):
             self.random_source.random()
@@ -142,16 +141,16 @@
         self.raft = self._make_raft(durable=None if stored is None else stored.state)
         self.bootstrap = self._make_bootstrap()
         self.vote = VotePersistence(self.vote_directory, self.worker, self._encode_vote)
-        self.singleton_tasks = singleton_tasks.SingletonTasks(name, self.vote_life)
+        self.singleton_tasks = singleton_tasks.SingletonTasks(name, self.vote_incarnation)
         self.fencing_tokens = FencingTokens()
-        self.others: list[Subsystem] = []
-        self.call_quota: CallQuota | None = None  # where a singleton task shares the calls
+        self.subsystems: list[Subsystem] = []
+        self.call_quota: CallQuota | None = None  # None unless a singleton task shares the calls
         environment = {"VALETURN_SERVER": name, "VALETURN_FLEET": options.name}
         self.task_processes = task_processes.TaskProcesses(scheduler, environment, self._command_ended)
         self.leadership_transfer = LeadershipTransfer(self)
         self.voter_changes = VoterChanges(self)
         self.elections = 0
-        self.silenced: str | None = None  # why it neither votes nor acts any more
+        self.silenced: str | None = None  # why it no longer votes or acts, or None
         self.closed = False
         self.leaving = False
         self._received_state: ReceivedState | None = None
@@ -166,7 +165,7 @@
         )
 
     def _read_vote(self) -> vote_file.StoredVote | None:
-        """Lock the vote's directory and return what it holds; None without a directory or a file in it."""
+        """Lock the vote's directory and return the stored vote; None without a directory or a file in it."""
         options = self.options
         if options.folder is None:
             return None
@@ -188,11 +187,16 @@
         lowest_token = 0
         if options.folder is None:
             lowest_token = int(self.seams.wall()) << limits.EPOCH_BITS
-        return Bootstrap(self.name, self.vote_life, lowest_token, options.voters)
+        return Bootstrap(self.name, self.vote_incarnation, lowest_token, options.voters)
 
-    def _make_raft(self, **how: Any) -> RaftNode:  # noqa: ANN401 - as RaftNode takes them
+    def _make_raft(self, **arguments: Any) -> RaftNode:  # noqa: ANN401 - those of RaftNode
         return RaftNode(
-            self.name, self.vote_life, self.options.lease, self.random_source, self.clock(), **how
+            self.name,
+            self.vote_incarnation,
+            self.options.lease,
+            self.random_source,
+            self.clock(),
+            **arguments,
         )
 
     def _identify(self) -> tuple[str, int]:
@@ -200,7 +204,7 @@
 
     def _encode_vote(self, durable: DurableState) -> bytes:
         options = self.options
-        return vote_file.encode(options.name, self.name, options.listen, self.vote_life, durable)
+        return vote_file.encode(options.name, self.name, options.listen, self.vote_incarnation, durable)
 
     def start(self) -> None:
         """Start the node's tasks."""
@@ -219,7 +223,7 @@
     def acts(self, name: str) -> int | None:
         """Return the fencing token under which this server may act for a singleton task now, or None.
 
-        To be asked after every wait and before every effect.
+        To be called after every wait and before every effect.
         """
         task = self.singleton_tasks.tasks.get(name)
         if task is None or not self.leads(self.clock()) or not task.is_held(self.raft.durable.term):
@@ -227,21 +231,21 @@
         return task.fencing_token
 
     def known_state(self) -> KnownState:
-        """Return the cluster's state as far as it is known here."""
+        """Return the cluster's state as known to this server."""
         if self.raft.may_vote() or self._received_state is None:
             return KnownState(self.raft.durable.term, self.raft.state, self.raft.leader)
         return self._received_state.known
 
     def current_leader(self) -> str | None:
-        """Return the leader's name as far as it is known here, or None."""
+        """Return the leader's name, or None where it is not known here."""
         return self.name if self.leads(self.clock()) else self.known_state().leader
 
     def not_the_leader(self) -> str:
-        """Return the reason for which a request to the leader is rejected here."""
+        """Return the reason why this server rejects a request to the leader."""
         return f"{self.name} is not the owner; {self.known_state().leader or 'nobody'} is"
 
     def random_member(self, names: Sequence[str]) -> str:
-        """Return one of these."""
+        """Return a random one of these names."""
         return names[int(self.random_source.random() * len(names))]
 
     # ---- time
@@ -249,7 +253,7 @@
     def _run(self) -> None:
         while not self.closed:
             self.tick()
-            self.scheduler.sleep(min(LONGEST_TICK, self.options.lease / TICKS_PER_LEASE))
+            self.scheduler.sleep(min(MAX_TICK_S, self.options.lease / TICKS_PER_LEASE))
 
     def tick(self) -> None:
         """Do what is due."""
@@ -265,14 +269,14 @@
         term = self.raft.durable.term if self.leads(now) else None
         self._log_leadership(now, term)
         if self.leadership_transfer.under_way:
-            self.leadership_transfer.go_on(now, term)
+            self.leadership_transfer.continue_transfer(now, term)
             term = None
         self._tick_leadership(now, term)
         if self.leaving and term is not None and not self.leadership_transfer.under_way:  # elected meanwhile
             self.leadership_transfer.begin()
 
     def _tick_leadership(self, now: float, term: int | None) -> None:
-        """Do what depends on the term of this server's leadership."""
+        """Do the periodic work that depends on the term of this server's leadership, or None."""
         if now - self._announced_at >= ANNOUNCEMENT_INTERVAL * self.options.lease:
             self._announced_at = now
             self._announce(now, term)
@@ -282,7 +286,7 @@
         self._extend_leases()
         if self.call_quota is not None:
             self.call_quota.tick(now)
-        for other in self.others:
+        for other in self.subsystems:
             other.tick(now, term)
 
     def _log_leadership(self, now: float, term: int | None) -> None:
@@ -304,7 +308,7 @@
     # ---- messages
 
     def receive(self, message: codec.Message, address: str) -> None:
-        """Take a peer's message; kinds that nobody knows are those of a newer version, and counted."""
+        """Dispatch a peer's message by its kind; unknown kinds, of newer versions, are counted."""
         if self.closed:
             return
         now = self.clock()
@@ -322,7 +326,7 @@
             self._receive_for_subsystem(now, message)
 
     def _receive_for_subsystem(self, now: float, message: codec.Message) -> None:
-        receivers: list[Any] = [self, *self.others]
+        receivers: list[Any] = [self, *self.subsystems]
         receiver = next((one for one in receivers if message.kind in one.KINDS), None)
         if receiver is None:
             self.count("cluster.messages_rejected.kind")
@@ -360,7 +364,7 @@
         )
 
     def _silence(self, reason: str) -> None:
-        """Vote and act no more: two of one name must not both."""
+        """Stop voting and acting: two servers of one name must not both do so."""
         if self.silenced is None:
             self.silenced = reason
             self.log("cluster_silenced", {"reason": reason})
@@ -369,7 +373,7 @@
     # ---- the replicated log
 
     def carry_out(self, effects: list[Effect]) -> None:
-        """Carry out Raft's effects, each once what stands before it is durable."""
+        """Carry out Raft's effects, each once the state before it is durable."""
         for effect in self.vote.submit(effects):
             self._carry_out_one(effect)
 
@@ -380,13 +384,13 @@
             self._committed(effect)
 
     def _follow_worker(self, worker: WorkerThread) -> None:
-        """Take what the disk's thread has done; runs as a task."""
+        """Handle the results of the worker thread; runs as a task."""
         stream = Stream(self.scheduler, worker.end)
         while isinstance(stream.read(), bytes):
             for _, result in worker.collect():
                 self._vote_written(result)
 
-    def _vote_written(self, result: Any) -> None:  # noqa: ANN401 - what was asked for, or an OSError
+    def _vote_written(self, result: Any) -> None:  # noqa: ANN401 - the job's result, or an OSError
         if isinstance(result, OSError):
             if self.vote.failed_at is None:
                 self.log("vote_write_failed", {"reason": str(result)})
@@ -397,7 +401,7 @@
             self._carry_out_one(effect)
 
     def propose(self, command: tuple[Any, ...]) -> bool:
-        """Propose a command for the log; return False where it can't be proposed here and now."""
+        """Propose a command for the log; return False where this server can't propose it now."""
         now = self.clock()
         if not self.leads(now):
             return False
@@ -406,7 +410,7 @@
         return proposed
 
     def _committed(self, entry: Committed) -> None:
-        """Take a command that holds from now on."""
+        """Handle a committed command."""
         command = entry.command
         if command[0] == GRANT_LEASE:
             self._lease_granted(entry)
@@ -418,11 +422,11 @@
     def _lease_granted(self, entry: Committed) -> None:
         _, name, holder, incarnation = entry.command
         lease = entry.state.task_lease(name)
-        assert lease is not None  # the entry has just granted it
+        assert lease is not None  # the entry granted it
         token = lease.fencing_token
         self.fencing_tokens.accept(name, token)
         now = self.clock()
-        if (holder, incarnation) == (self.name, self.vote_life) and self.leads(now):
+        if (holder, incarnation) == (self.name, self.vote_incarnation) and self.leads(now):
             term = self.raft.durable.term
             if self.raft.term_of(entry.log_index) == term:
                 self.carry_out_tasks(self.singleton_tasks.grant_committed(now, term, name, token))
@@ -430,10 +434,10 @@
     # ---- announcements
 
     def _announce(self, now: float, term: int | None) -> None:
-        """Send the state to those that do not vote, and say whether this server has lost its own."""
+        """Send the state to non-voting servers, and announce whether this server has lost its own."""
         if term is not None:
             self._send_state(now, term)
-        if not self.raft.durable.state_lost:  # it was admitted by others that had bootstrapped without it
+        if not self.raft.durable.state_lost:  # others that bootstrapped without it have admitted it
             self.bootstrap = None
         if self.bootstrap is not None or self.raft.durable.state_lost:
             self._announce_lost_state()
@@ -454,38 +458,43 @@
             self.send(name, STATE_MESSAGE, fields)
 
     def _announce_lost_state(self) -> None:
-        fields: list[Any] = [[self.name, self.vote_life, 0], None, False]
+        fields: list[Any] = [[self.name, self.vote_incarnation, 0], None, False]
         if self.bootstrap is not None:
             fields = self.bootstrap.announcement()
         leader = self.known_state().leader
         receivers: Iterable[str] = self.options.voters
         if self.bootstrap is None and leader is not None:
             receivers = [leader]
-        if leader is None:  # the voters may long be others than those that the file names
+        if leader is None:  # the voters may have changed since the file was written
             alive = self.membership.alive()
             receivers = {*receivers, *(self.random_member(alive) for _ in range(RANDOM_RECEIVERS))}
         for name in receivers:
             self.send(name, BLANK_MESSAGE, fields)
 
     def _announce_bootstrap(self) -> None:
-        """Tell the other voters, one of which may not have received all announcements, who they are."""
-        fields = [[self.name, self.vote_life, 0], voter_set_to_wire(self._bootstrap_voters), True]
+        """Announce the set of voters to the others, one of which may have missed announcements."""
+        fields = [[self.name, self.vote_incarnation, 0], voter_set_to_wire(self._bootstrap_voters), True]
         for name in self.options.voters:
             if name != self.name and self.membership.get(name) is not None:
                 self.send(name, BLANK_MESSAGE, fields)
 
-    def on_blank(self, now: float, sender: str, row: Any, would: Any, done: Any) -> None:  # noqa: ANN401
-        """Take the announcement of a server without durable state, or of one that has bootstrapped."""
+    def on_blank(self, now: float, sender: str, record: Any, proposal: Any, completed: Any) -> None:  # noqa: ANN401
+        """Handle the announcement of a server without durable state, or of one that has bootstrapped."""
         if self.bootstrap is not None:
-            if self.bootstrap.receive(sender, row, would, done) is not None:
+            if self.bootstrap.receive(sender, record, proposal, completed) is not None:
                 self.complete_bootstrap()
             return
         # An exact type: true and false are integers in Python.
-        if done is not True and isinstance(row, list) and len(row) == ROW_LENGTH and type(row[1]) is int:
-            self.voter_changes.record_candidate(sender, row[1])
+        if (
+            completed is not True
+            and isinstance(record, list)
+            and len(record) == ROW_LENGTH
+            and type(record[1]) is int
+        ):
+            self.voter_changes.record_candidate(sender, record[1])
 
     def complete_bootstrap(self) -> None:
-        """Begin as a voter of the new cluster."""
+        """Start as a voter of the new cluster."""
         assert self.bootstrap is not None
         founders = self.bootstrap.completed
         assert founders is not None
@@ -496,7 +505,7 @@
         self.log("cluster_bootstrapped", {"voters": ",".join(name for name, _ in voters)})
 
     def on_state(self, now: float, sender: str, term: int, encoded: Any) -> None:  # noqa: ANN401
-        """Take the state that a leader sent.
+        """Handle the state that a leader sent.
 
         Raises:
             TypeError: A field has the wrong type.
@@ -512,44 +521,44 @@
         self._received_state = ReceivedState(KnownState(term, state, sender), now)
         for name, _, _, token in state.task_leases:
             self.fencing_tokens.accept(name, token)
-        if self.raft.may_vote() and (self.name, self.vote_life) not in state.voters:
+        if self.raft.may_vote() and (self.name, self.vote_incarnation) not in state.voters:
             self._discard_state()
 
     @staticmethod
     def _epoch(fencing_token: int) -> int:
-        """Return how often the cluster had been bootstrapped by force when the token was granted."""
+        """Return the number of forced bootstraps of the cluster before the token was granted."""
         return fencing_token >> limits.EPOCH_BITS
 
     def _discard_state(self) -> None:
-        """Vote anew: the cluster was bootstrapped by force without this server, whose state is of before."""
-        self.log("cluster_state_discarded", {"incarnation": self.vote_life})
+        """Discard this server's state, which is older than a forced bootstrap of the cluster without it."""
+        self.log("cluster_state_discarded", {"incarnation": self.vote_incarnation})
         self._begin_incarnation()
         self.raft = self._make_raft()
 
     def _begin_incarnation(self) -> None:
-        """Take the number of an incarnation that has never voted."""
-        self.vote_life = max(int(1000 * self.seams.wall()), self.vote_life + 1)
-        self.singleton_tasks.incarnation = self.vote_life
+        """Begin an incarnation that has never voted."""
+        self.vote_incarnation = max(int(1000 * self.seams.wall()), self.vote_incarnation + 1)
+        self.singleton_tasks.incarnation = self.vote_incarnation
 
     # ---- the quota of calls
 
     def share_calls(self, name: str, options: SingletonTaskOptions, need: Callable[[], float]) -> None:
-        """Take part in sharing the calls.
+        """Start to share the calls with the other servers.
 
         Args:
             name: The singleton task that shares them.
             options: Its options.
-            need: Returns how many calls this server could have out now.
+            need: Returns the number of concurrent calls that this server could use now.
         """
         self.call_quota = CallQuota(self, name, options, need)
 
     def on_need(self, now: float, sender: str, *fields: Any) -> None:  # noqa: ANN401
-        """Take a server's request for a share of the calls."""
+        """Handle a server's request for a share of the calls."""
         if self.call_quota is not None:
             self.call_quota.on_request(now, sender, *fields)
 
     def on_share(self, now: float, sender: str, grant: Any) -> None:  # noqa: ANN401
-        """Take the share of the calls that the leader granted."""
+        """Handle the share of the calls that the leader granted."""
         if self.call_quota is not None:
             self.call_quota.on_grant(now, sender, grant)
 
@@ -563,7 +572,7 @@
     # ---- singleton tasks
 
     def configure(self, configured: Mapping[str, SingletonTaskOptions]) -> None:
-        """Take the singleton tasks that the operator's file has now."""
+        """Replace the singleton tasks by those of the operator's file."""
         self.carry_out_tasks(self.singleton_tasks.configure(self.clock(), configured))
 
     def carry_out_tasks(self, effects: Iterable[singleton_tasks.Effect]) -> None:
@@ -579,8 +588,8 @@
                 self.log(effect.event, effect.fields)
 
     def _start_command(self, start: singleton_tasks.StartCommand) -> None:
-        """Start a command after a last look at the lease; it has its fencing token in its environment."""
-        failure: CommandOutcome | None = CommandOutcome.without_exit("lease over")
+        """Start a command after a final check of the lease; its environment has its fencing token."""
+        failure: CommandOutcome | None = CommandOutcome.without_exit_code("lease over")
         if self.acts(start.task) == start.fencing_token:
             failure = self.task_processes.start(*start)
         if failure is not None:
@@ -594,12 +603,12 @@
         if self.task_processes.running and self.leads(self.clock()):
             self.task_processes.extend_leases(self.acts, self.seams.to_boot(self.raft.lease_until))
 
-    # ---- what operators ask for
+    # ---- operators' requests
 
     def force_bootstrap(self) -> str | None:
-        """Continue alone after the loss of a majority for good, and return why it can't, or None.
+        """Continue alone after a permanent loss of the majority; return None, or the reason why it can't.
 
-        This server alone votes, under fencing tokens above all that were granted.
+        This server becomes the only voter, with fencing tokens above all that were granted.
         """
         now = self.clock()
         if self.leads(now):
@@ -610,26 +619,26 @@
         token = (self._epoch(max(granted)) + 1) << limits.EPOCH_BITS
         self._begin_incarnation()
         self.bootstrap = None
-        voters = ((self.name, self.vote_life),)
+        voters = ((self.name, self.vote_incarnation),)
         self.raft = self._make_raft(voters=voters, fencing_token=token, term=self.raft.durable.term + 1)
         self.log("cluster_bootstrap_forced", {"fencing_token": token})
         return None
 
     def _follows_leader(self, now: float) -> bool:
-        """Return whether a leader was heard within its lease; a server that has just started can't tell."""
+        """Return whether a leader sent a message within its lease; False just after a start."""
         has_run = now - self.started_at > 2 * self.options.lease
         heard = self.raft.leader is not None and now < self.raft.votes_withheld_until
         return self.raft.role == 0 and heard and has_run
 
     def status(self) -> dict[str, Any]:
-        """Return what `valeturn fleet status` shows."""
+        """Return the content of `valeturn fleet status`."""
         return node_status.status(self)
 
-    def figures(self) -> dict[str, Any]:
-        """Return the numbers for the server's gauges."""
-        return node_status.figures(self)
+    def gauge_values(self) -> dict[str, Any]:
+        """Return the values for the server's gauges."""
+        return node_status.gauge_values(self)
 
-    # ---- the end
+    # ---- shutdown
 
     def leave(self) -> None:
         """Stop commands and transfer leadership; peers are answered until `close`."""
@@ -641,18 +650,18 @@
                 self.leadership_transfer.begin()
 
     def leave_alone(self) -> None:
-        """Leave the cluster and serve on alone; the server takes part again from its next start."""
+        """Leave the cluster and continue to serve alone; the server joins again at its next start."""
         self.leave()
         self.depart()
         self._silence("has left the fleet")
 
     def depart(self) -> None:
-        """Tell the others that this server leaves by itself, so that they need not suspect it."""
+        """Announce that this server leaves deliberately, so that the others do not suspect it."""
         if self.membership.local.state != LEFT:
             self._carry_out_membership(self.membership.leave(self.clock()))
 
-    def close(self, patience: float) -> None:
-        """End all commands and connections, and wait up to `patience` seconds for the disk."""
+    def close(self, timeout_s: float) -> None:
+        """End all commands and connections, and wait up to `timeout_s` seconds for the disk."""
         if self.closed:
             return
         self.depart()
@@ -660,5 +669,5 @@
         self.task_processes.close_all()
         self.peer_connections.close_now()
         if self.worker is not None and self.vote_directory is not None:
-            self.worker.finish(max(CLOSE_TIMEOUT, patience))
+            self.worker.finish(max(CLOSE_TIMEOUT, timeout_s))
             self.vote_directory.unlock()
--- a/valeturn/cluster/node_status.py
+++ b/valeturn/cluster/node_status.py
@@ -1,4 +1,4 @@
-"""What a cluster node reports about itself: to operators and among the server's gauges."""
+"""A cluster node's status for operators and its values for the server's gauges."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def role_text(node: ClusterNode) -> str:
-    """Return the node's role or, first, what keeps it from voting; operators' scripts may compare it."""
+    """Return what keeps the node from voting, or else its role; operators' scripts may compare the text."""
     if node.silenced:
         return "silenced: " + node.silenced
     if node.vote.failed_at is not None:
@@ -25,7 +25,7 @@
 
 
 def status(node: ClusterNode) -> dict[str, Any]:
-    """Return what `valeturn fleet status` shows; its keys must not change."""
+    """Return the content of `valeturn fleet status`; its keys must not change."""
     now = node.clock()
     known = node.known_state()
     leads = node.leads(now)
@@ -64,8 +64,8 @@
     }
 
 
-def figures(node: ClusterNode) -> dict[str, Any]:
-    """Return the numbers for the server's gauges."""
+def gauge_values(node: ClusterNode) -> dict[str, Any]:
+    """Return the values for the server's gauges."""
     states = [member.state for member in node.membership.members.values()]
     return {
         "alive": 1 + states.count(ALIVE),
--- a/valeturn/cluster/options.py
+++ b/valeturn/cluster/options.py
@@ -13,15 +13,15 @@
 from .suspicion import SUSPICION_MULTIPLIER
 
 NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.-]*")
-# Parts of an IPv4 address, and one more than the largest part and the largest port.
+# Parts of an IPv4 address, and the exclusive upper bounds of a part and of a port.
 ADDRESS_PARTS = 4
 PART_END = 256
 PORT_END = 65536
-# Seeds that an operator may list: enough for one in each zone of a large cluster.
+# Maximum seeds in the operator's file: enough for one in each zone of a large cluster.
 MAX_SEEDS = 16
-# Bytes that a cluster takes: msgpack, crc32c and 1,024 members; measured 2.1 MB with 20.
+# Memory of a cluster: msgpack, crc32c and 1,024 members; with 20 members it is 2.1 MB.
 MEMORY_BYTES = 3_000_000
-# MB that a process takes without any subsystem.
+# MB of memory that a process takes without any subsystem.
 PROCESS_MB = 24
 
 
@@ -29,17 +29,17 @@
     """A type of values in the operator's file."""
 
     def read(self, text: str) -> str:
-        """Return the value of a text, or raise InvalidValueError."""
+        """Return the value that a text denotes, or raise InvalidValueError."""
 
 
 class Address(NamedTuple):
-    """The type of `HOST:PORT`, the host as four numbers: no name is ever looked up."""
+    """The type of `HOST:PORT`, with a numeric host: no name is ever resolved."""
 
     def read(self, text: str) -> str:
         """Return the address in its canonical form.
 
         Raises:
-            InvalidValueError: it is no address.
+            InvalidValueError: the text is not an address.
         """
         host, colon, port = text.rpartition(":")
         if not colon or not _is_host(host) or not _is_port(port):
@@ -69,7 +69,7 @@
         """Return the name.
 
         Raises:
-            InvalidValueError: it has other characters, or too many.
+            InvalidValueError: the text has other characters, or too many.
         """
         if not NAME.fullmatch(text) or len(text) > limits.ADDRESS:
             raise InvalidValueError(
@@ -88,7 +88,7 @@
         """Return the items.
 
         Raises:
-            InvalidValueError: an item is not of its type, is there twice, or there are too many.
+            InvalidValueError: an item is not of the type or listed twice, or there are too many.
         """
         items = tuple(self.item_type.read(item.strip()) for item in text.split(","))
         if len(set(items)) != len(items):
@@ -103,17 +103,17 @@
     """The options of the cluster. Durations are in seconds."""
 
     name: str
-    listen: str
-    seeds: tuple[str, ...]
-    voters: tuple[str, ...]  # names of those that bootstrap the cluster and vote
-    folder: str | None  # of the vote file, where a disk outlasts the server
+    listen: str  # host:port for peers
+    seeds: tuple[str, ...]  # addresses of servers to join by
+    voters: tuple[str, ...]  # names of the servers that bootstrap the cluster and vote
+    folder: str | None  # directory of the vote file; None without a durable disk
     zone: str
     probe: float  # between probes of another member
-    lease: float  # that a leader acts on one round of answers
-    even: bool  # an even number of voters is meant
-    largest: int  # servers that the cluster may ever have at once
+    lease: float  # for which a leader may act after one round of acknowledgements
+    even: bool  # whether an even number of voters is intended
+    largest: int  # maximum number of servers that the cluster ever has at once
     memory: int = MEMORY_BYTES
-    where: Mapping[str, LocatedValue] = {}  # the place of each key in the file
+    where: Mapping[str, LocatedValue] = {}  # by key: the value's position in the file
 
 
 def build(values: Mapping[str, Any], where: Mapping[str, LocatedValue]) -> tuple[ClusterOptions, list[Fault]]:
@@ -142,14 +142,14 @@
 
 
 class ServerConfiguration(Protocol):
-    """What is used of the server's configuration."""
+    """The part of the server's configuration that is used here."""
 
     listen: tuple[str, int]
     memory_mb: float
 
 
 def check_deployment(options: ClusterOptions, configuration: ServerConfiguration) -> list[Fault]:
-    """Return the faults of the options beside the server's configuration."""
+    """Return the faults of the options given the server's configuration."""
     faults = []
     host, _, port = options.listen.rpartition(":")
     gateway_host, gateway_port = configuration.listen[:2]
--- a/valeturn/cluster/peer_connections.py
+++ b/valeturn/cluster/peer_connections.py
@@ -1,8 +1,8 @@
-"""Connections between servers: one a pair, opened when there is something to send, closed when it is idle.
+"""Connections between servers: one per pair, opened when there is something to send, closed when it is idle.
 
-Messages may be lost here, as on any network: those that wait too long are dropped, the oldest first, and
-counted. A message of another cluster, of an earlier generation of a peer, or one that can't be decoded closes
-its connection at the most.
+Messages may be lost, as on any network: those that wait too long are dropped, the oldest first, and counted.
+A message of another cluster, of an earlier generation of a peer, or one that can't be decoded only closes its
+connection.
 """
 
 from __future__ import annotations
@@ -20,30 +20,28 @@
 from ..transport.streams import Stream, connect
 from . import codec, limits
 
-HELLO = "hello"  # kind of the first message each way, on the wire: the sender's own listening address
+HELLO = "hello"  # wire kind of the first message in each direction, with the sender's listening address
 TASK_NAME = "peer_connection"
 
-CONNECT_TIMEOUT = 1.0  # s: round trips of a slow network, and one lost packet
-FIRST_BACKOFF = 0.1  # s until the second attempt to connect to an address
-MAX_BACKOFF = 2.0  # s between attempts at the most: a server that is back is reached within one suspicion
-IDLE_TIMEOUT = 20.0  # s without a message; in clusters of twenty each member is probed more often
-USER_TIMEOUT = (
-    5000  # ms that the kernel resends unacknowledged data (RFC 5482) before it breaks the connection
-)
-MAX_QUEUE_TIME = 2.0  # s that a message waits; whoever needs it sends a newer one by then
+CONNECT_TIMEOUT = 1.0  # seconds: round trips of a slow network, and one lost packet
+FIRST_BACKOFF = 0.1  # seconds until the second attempt to connect to an address
+MAX_BACKOFF = 2.0  # maximum seconds between attempts: a returned server is reached within one suspicion
+IDLE_TIMEOUT = 20.0  # seconds without a message; in clusters of twenty, members are probed more often
+USER_TIMEOUT = 5000  # ms for which the kernel resends unacknowledged data before it closes (RFC 5482)
+MAX_QUEUE_TIME = 2.0  # maximum seconds that a message waits; by then a newer one was sent
 
 
 class LocalEndpoint(NamedTuple):
-    """This server as its peers connect to it, and what receives their messages."""
+    """This server's identity towards its peers, and the receiver of their messages."""
 
     cluster: str
     listen_address: str  # host:port
-    identify: Callable[[], tuple[str, int]]  # returns the present name and generation
-    receive: Callable[[codec.Message, str], None]  # takes a message and the sender's listening address
+    identify: Callable[[], tuple[str, int]]  # returns the current name and generation
+    receive: Callable[[codec.Message, str], None]  # called with a message and the sender's listening address
 
 
 class Rejection(Enum):
-    """Why a message that was decoded closes its connection; the values end the counters' names."""
+    """Why a decoded message closes its connection; the values are the last part of the counters' names."""
 
     OWN_NAME = "own_name"
     EARLIER_GENERATION = "earlier_generation"
@@ -53,24 +51,24 @@
 
 
 class Connection:
-    """One TCP connection, and what is known of the peer at its other end."""
+    """One TCP connection, and the known properties of its peer."""
 
     def __init__(self, stream: Stream, outbound: bool, peer_address: str | None = None) -> None:
         self.stream = stream
         self.outbound = outbound
-        self.peer_name: str | None = None  # until its hello was received
-        self.peer_address = peer_address  # where it listens; None for an inbound one until its hello
+        self.peer_name: str | None = None  # None until its hello was received
+        self.peer_address = peer_address  # listening address; None for an inbound connection until its hello
 
 
 class QueuedMessage(NamedTuple):
     """An encoded message that waits for a connection."""
 
-    queued_at: float  # s of the scheduler's clock
+    queued_at: float  # seconds of the scheduler's clock
     data: bytes
 
 
 class Peer:
-    """An address, its connection and the messages that wait for it."""
+    """An address, its connection and its queued messages."""
 
     def __init__(self, address: str, random_source: SeededRandom) -> None:
         self.address = address
@@ -78,8 +76,8 @@
         self.connecting = False
         self.queue: deque[QueuedMessage] = deque()
         self.queued_bytes = 0
-        self.last_used_at = 0.0  # s of the scheduler's clock
-        self.retry_at = 0.0  # s of the scheduler's clock before which no connection is tried
+        self.last_used_at = 0.0  # seconds of the scheduler's clock
+        self.retry_at = 0.0  # seconds of the scheduler's clock: no attempt to connect before this
         self.backoff = Backoff(random_source, FIRST_BACKOFF, MAX_BACKOFF)
 
     def enqueue(self, now: float, data: bytes) -> int:
@@ -144,10 +142,10 @@
 
         Args:
             scheduler: runs a task for each connection.
-            local: this server and its receiver of messages.
-            random_source: spreads the attempts to connect.
-            count: raises a counter by one.
-            dial: connects to an address within a timeout in s; returns a Stream, or else why there is none.
+            local: this server's identity and its receiver of messages.
+            random_source: randomizes the delays between attempts to connect.
+            count: increments a counter.
+            dial: connects to an address within a timeout in seconds; returns a Stream, or the failure.
 
         Raises:
             OSError: if the address can't be listened on.
@@ -173,7 +171,7 @@
         now = self._scheduler.clock()
         try:
             data = codec.encode(self._local.cluster, *self._local.identify(), kind, fields)
-        except (codec.MessageTooLongError, ValueError):  # ValueError: nested deeper than msgpack packs
+        except (codec.MessageTooLongError, ValueError):  # ValueError: nested too deeply for msgpack
             self._count("cluster.messages_oversized")
             return
         self._count("cluster.messages_sent")
@@ -206,7 +204,7 @@
         return peer
 
     def _flush(self, peer: Peer, connection: Connection) -> None:
-        """Write the queued messages, as far as the stream takes them."""
+        """Write queued messages until the stream's buffer is full."""
         self._count_dropped(peer.drop_expired(self._scheduler.clock()))
         stream = connection.stream
         while peer.queue and stream.fault is None and len(stream.unsent) <= limits.UNSENT:
@@ -232,15 +230,15 @@
         self._read(connection)
 
     def _use(self, peer: Peer, connection: Connection) -> None:
-        """Send to a peer by this connection from now on."""
+        """Use this connection for all further messages to a peer."""
         peer.connection = connection
         peer.backoff.reset()
         self.open_connections.add(connection)
-        self._say_hello(connection)
+        self._send_hello(connection)
         self._flush(peer, connection)
 
-    def _say_hello(self, connection: Connection) -> None:
-        """Introduce this server: by name and generation, as each message does, and its listening address."""
+    def _send_hello(self, connection: Connection) -> None:
+        """Send this server's identity: name and generation, as in each message, and its listening address."""
         sock = connection.stream.sock
         if sock.family == socket.AF_INET:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT)
@@ -260,24 +258,24 @@
         try:
             while isinstance(data := connection.stream.read(IDLE_TIMEOUT), bytes):
                 for result in decoder.feed(data):
-                    reason = self._take(connection, result)
+                    reason = self._handle(connection, result)
                     if reason is not None:
                         self._count("cluster.messages_rejected." + reason.value)
                         return
         finally:
             self._release(connection)
 
-    def _take(
+    def _handle(
         self, connection: Connection, result: codec.Message | codec.DecodeError
     ) -> codec.DecodeFailure | Rejection | None:
-        """Handle what was decoded, and return why the connection can't go on, or None."""
+        """Handle a decoded message, and return why the connection has to be closed, or None."""
         if isinstance(result, codec.DecodeError):
             return result.reason
         rejection = self._check_sender(result)
         if rejection is not None:
             return rejection
         if connection.peer_name is None or connection.peer_address is None:
-            return self._take_hello(connection, result)
+            return self._handle_hello(connection, result)
         if result.sender != connection.peer_name:
             return Rejection.SENDER_CHANGED
         self._count("cluster.messages_received")
@@ -291,11 +289,11 @@
         if message.generation < self._generations.get(name, 0):
             return Rejection.EARLIER_GENERATION
         if len(self._generations) >= 2 * limits.MEMBERS and name not in self._generations:
-            self._generations.clear()  # those that are still there send theirs again
+            self._generations.clear()  # live peers announce theirs again
         self._generations[name] = message.generation
         return None
 
-    def _take_hello(self, connection: Connection, message: codec.Message) -> Rejection | None:
+    def _handle_hello(self, connection: Connection, message: codec.Message) -> Rejection | None:
         fields = message.fields
         if message.kind != HELLO or len(fields) != 1 or not isinstance(fields[0], str):
             return Rejection.MISSING_HELLO
@@ -308,14 +306,14 @@
         if peer is None:
             return Rejection.TOO_MANY_PEERS
         peer.last_used_at = self._scheduler.clock()
-        # When both servers connect at once, both send by the connection that the smaller address opened, and
-        # read the other until it is idle.
+        # When both servers connect simultaneously, both send on the connection that the smaller address
+        # opened, and read the other one until it is idle.
         if not (peer.has_working_outbound() and self._local.listen_address < address):
             self._use(peer, connection)
         return None
 
     def _release(self, connection: Connection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         connection.stream.close()
         self.open_connections.discard(connection)
         if not connection.outbound:
@@ -328,7 +326,7 @@
     # ---- housekeeping
 
     def tick(self) -> None:
-        """Drop what waits too long, and close what is idle; to be called a few times a second."""
+        """Drop expired messages and close idle connections; to be called several times a second."""
         now = self._scheduler.clock()
         for peer in list(self._peers.values()):
             idle = now - peer.last_used_at > IDLE_TIMEOUT
@@ -343,10 +341,10 @@
                 del self._peers[peer.address]
 
     def _evict(self) -> bool:
-        """Close the least recently used inbound connection, to make room for a new one.
+        """Close the least recently used inbound connection, so that a new one can be accepted.
 
         Returns:
-            False: there is no room before the connection's own task has released it.
+            False, as the place is free only once the connection's own task has released it.
         """
         connection = self._least_recently_used()
         if connection is not None:
@@ -355,7 +353,7 @@
         return False
 
     def _least_recently_used(self) -> Connection | None:
-        """Return the inbound connection to close first: one in use, or else one without a hello."""
+        """Return the least recently used inbound connection, or else one without a hello, or None."""
         inbound = [
             (peer.last_used_at, peer.connection)
             for peer in self._peers.values()
@@ -366,7 +364,7 @@
         return next((one for one in self.open_connections if one.peer_name is None), None)
 
     def close_now(self) -> None:
-        """Close all connections; what the sockets take of unsent messages still goes out."""
+        """Close all connections; bytes that the sockets have accepted are still sent."""
         self._closed = True
         self._listener.close()
         for connection in list(self.open_connections):
--- a/valeturn/cluster/process_guard.py
+++ b/valeturn/cluster/process_guard.py
@@ -1,15 +1,15 @@
-"""Run one command of a singleton task and end it with the lease, whatever becomes of the server.
+"""Runs one command of a singleton task and ends it with the lease, whatever happens to the server.
 
 This is a program of its own, started as `python -I -S process_guard.py GRACE_PERIOD COMMAND`, so that a
 server that is stopped, slow or gone does not leave its command running. It imports the standard library only.
 
 Standard input carries lines: `until SECONDS` gives the end of the lease by the boot clock, `stop` ends the
-command. The guard sends TERM early enough before the lease ends for the grace period, then KILL, to all that
-the command started, also to what left its process group. End of input means that the server is gone: the
-command is killed at once.
+command. The guard sends TERM early enough that the grace period fits before the end of the lease, then KILL,
+to all processes that the command started, also those that left its process group. End of input means that
+the server has ended: the command is killed immediately.
 
 Standard output carries one JSON line at the end: `code` (exit code, or the negated signal number), `why`, and
-`tail`, the last of what the command printed.
+`tail`, the end of the command's output.
 """
 
 import contextlib
@@ -23,15 +23,15 @@
 import time
 from collections.abc import Iterable
 
-# Bytes kept of the command's output: the same as cluster/limits.py has, which is not imported here.
+# Bytes kept of the command's output: the same as in cluster/limits.py, which is not imported here.
 OUTPUT_TAIL_BYTES = 2000
-# Fraction of the lease last announced, before its end, at which all is killed: as in task_options.py.
+# Fraction of the lease last announced, before its end, at which all is killed; as in task_options.py.
 KILL_MARGIN = 0.15
-# Seconds between checks: a tenth of what is set aside for ending the command at the shortest lease.
+# Seconds between checks: a tenth of the time for ending the command at the shortest lease.
 CHECK_INTERVAL_S = 0.02
 # Seconds that a command may run before the first lease is announced: the server announces it at the start.
 INITIAL_LEASE_S = 1.0
-# Bytes read from a pipe at once: what a Linux pipe holds.
+# Bytes read from a pipe at once: the capacity of a Linux pipe.
 READ_BYTES = 65536
 STANDARD_INPUT = 0
 # Options of prctl(2).
@@ -40,12 +40,12 @@
 
 
 def boot_time() -> float:
-    """Return the seconds since the machine was booted, suspend included."""
+    """Return the seconds since boot, including suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def live_children_by_parent() -> dict[int, list[int]]:
-    """Return the process ids below each parent, from /proc, without zombies."""
+    """Return the ids of each process's children, from /proc, without zombies."""
     children: dict[int, list[int]] = {}
     for entry in os.listdir("/proc"):
         if not entry.isdigit():
@@ -53,7 +53,7 @@
         try:
             with open(f"/proc/{entry}/stat", "rb") as file:
                 state, parent = file.read().rpartition(b")")[2].split()[:2]
-        except OSError:  # the process has ended meanwhile
+        except OSError:  # the process has ended
             continue
         if state != b"Z":
             children.setdefault(int(parent), []).append(int(entry))
@@ -61,7 +61,7 @@
 
 
 def descendants_of(roots: Iterable[int]) -> list[int]:
-    """Return all live processes below these.
+    """Return all live descendants of these processes.
 
     Processes that left the process group are included: when their parent ends they become children of this
     process, which is a subreaper.
@@ -77,16 +77,16 @@
 
 
 def signal_descendants(number: int) -> bool:
-    """Send a signal to all that the command started and return whether there was any process."""
+    """Send a signal to all processes that the command started; return whether there were any."""
     processes = descendants_of([os.getpid()])
     for process in processes:
-        with contextlib.suppress(OSError):  # it has ended meanwhile
+        with contextlib.suppress(OSError):  # the process has ended
             os.kill(process, number)
     return bool(processes)
 
 
 def ignore_signal(*_: object) -> None:
-    """Handle a signal by doing nothing: only the server ends this program."""
+    """Ignore a signal: only the server ends this program."""
 
 
 def start_command(command: str, output: int) -> subprocess.Popen[bytes]:
@@ -108,7 +108,7 @@
 
 
 class ProcessGuard:
-    """One command, the lease that it runs under, and the deadlines for ending it.
+    """One command, the lease under which it runs, and the deadlines for ending it.
 
     All timestamps and durations are in seconds of the boot clock.
     """
@@ -133,7 +133,7 @@
         self.exit_code: int | None = None
 
     def run(self) -> None:
-        """Guard the command until it and all its descendants are gone, then print the result."""
+        """Guard the command until it and all its descendants have ended, then print the result."""
         while True:
             for descriptor, _ in self.poller.poll(1000 * CHECK_INTERVAL_S):
                 self.receive(descriptor)
@@ -144,13 +144,13 @@
             if self.exit_code is not None:
                 if not descendants_of([os.getpid()]):
                     break
-                self.end_left_behind(now)
+                self.end_remaining_processes(now)
         self.drain_output()
         tail = self.output_tail.decode(errors="replace")[-OUTPUT_TAIL_BYTES:]
         print(json.dumps({"code": self.exit_code, "why": self.reason, "tail": tail}), flush=True)
 
     def receive(self, descriptor: int) -> None:
-        """Read what has come from the server or from the command."""
+        """Read lines from the server, or output of the command."""
         data = os.read(descriptor, READ_BYTES)
         if not data:
             self.poller.unregister(descriptor)
@@ -164,7 +164,7 @@
                 self.receive_line(line)
 
     def receive_line(self, line: bytes) -> None:
-        """Carry out one line from the server."""
+        """Handle one line from the server."""
         keyword, _, value = line.partition(b" ")
         if keyword == b"until":
             self.lease_end = float(value)
@@ -173,21 +173,21 @@
             self.end_command("told to stop", boot_time(), boot_time() + self.grace_period)
 
     def append_output(self, data: bytes) -> None:
-        """Keep the last of the command's output."""
+        """Append to the command's output, of which only the end is kept."""
         self.output_tail = (self.output_tail + data)[-OUTPUT_TAIL_BYTES:]
 
     def end_command(self, reason: str, term_at: float, kill_at: float) -> None:
-        """Set why and when the command is ended."""
+        """Set the reason and the times for ending the command."""
         self.reason = reason
         self.term_at = term_at
         self.kill_at = kill_at
 
     def last_kill_time(self) -> float:
-        """Return when all must be killed at the latest so that nothing outlives the lease."""
+        """Return the latest time to kill all processes so that none outlives the lease."""
         return self.lease_end - KILL_MARGIN * max(0.0, self.lease_end - self.lease_received_at)
 
     def check_lease(self, now: float) -> None:
-        """Start ending the command when the lease runs out, and keep KILL within the lease."""
+        """Begin to end the command before the lease expires, and keep KILL within the lease."""
         last_kill_time = self.last_kill_time()
         if self.kill_at is None and now >= last_kill_time - self.grace_period:
             self.end_command("lease over", now, min(now + self.grace_period, last_kill_time))
@@ -195,7 +195,7 @@
             self.kill_at = min(self.kill_at, max(self.term_at, last_kill_time))
 
     def send_due_signals(self, now: float) -> None:
-        """Send TERM once, and KILL in each round from its time on."""
+        """Send TERM once, and KILL in each round once it is due."""
         if self.kill_at is None:
             return
         if now >= self.kill_at:
@@ -216,14 +216,14 @@
                 self.exit_code = os.waitstatus_to_exitcode(status)
                 self.child.returncode = self.exit_code
 
-    def end_left_behind(self, now: float) -> None:
+    def end_remaining_processes(self, now: float) -> None:
         """End the processes that the command left behind when it ended by itself."""
         if self.term_at is None:
             time_left = max(0.0, self.last_kill_time() - now)
             self.end_command(self.reason, now, now + min(self.grace_period, time_left))
 
     def drain_output(self) -> None:
-        """Read what the command printed last."""
+        """Read the remaining output of the command."""
         while select.select([self.output], [], [], 0)[0]:
             data = os.read(self.output, READ_BYTES)
             if not data:
--- a/valeturn/cluster/quota.py
+++ b/valeturn/cluster/quota.py
@@ -1,8 +1,8 @@
-"""Split the concurrency limit of a shared dependency among servers, never exceeding it in sum. No I/O.
+"""Splits the concurrency limit of a shared dependency among servers, without exceeding it in sum. No I/O.
 
-Each server has a guaranteed quota: the limit over the largest number of servers that there may ever be. What
-one server needs less is lent to those that need more, for a limited time. Two rules keep the sum below the
-limit through any loss, delay, pause and change of leader:
+Each server has a guaranteed quota: the limit divided by the maximum number of servers. The unused part of one
+server's quota is lent to others that need more, for a limited time. Two rules keep the sum below the limit
+during any loss, delay, pause and change of leader:
 
 - *Reduced* quota binds the server from when it reads the grant, for twice the grant's duration by its own
   clock. The leader counts on it only once the server has confirmed it, and only that long from when the grant
@@ -11,9 +11,9 @@
   decided: a grant that arrives late has expired by then. A new leader lends nothing until all that an earlier
   one may have lent has expired.
 
-A server that has just started may have accepted a reduced quota in an earlier incarnation: it uses a fraction
-that is never lent until that grant has expired. Fencing: a server accepts no grant of a leader with a lower
-token than the highest one it has seen.
+A server that has just started may have accepted a reduced quota in an earlier incarnation: until that grant
+has expired it uses only a fraction that is never lent. Fencing: a server accepts no grant of a leader with a
+lower token than the highest one it has received.
 
 All timestamps are in seconds of the local clock, amounts in concurrent calls.
 """
@@ -27,23 +27,23 @@
 
 from .raft import CLOCK_DRIFT
 
-# Fraction of the guaranteed quota that is never lent: what a server that has just started, or needs nothing,
-# may always use.
+# Fraction of the guaranteed quota that is never lent: a server that has just started, or needs nothing, may
+# always use it.
 NEVER_LENT = 0.25
-# Target quota over what is needed: need rises by a quarter between requests at most where load is steady.
+# Target quota as a multiple of the need: at steady load the need rises by at most a quarter between requests.
 TARGET_MARGIN = 1.25
-# Grant durations after which a server that sent no request counts as unknown.
+# A server that sent no request for this many grant durations counts as unknown.
 UNKNOWN_AFTER = 3.0
-# Requests whose grants are still accepted.
+# Number of the latest requests whose grants are accepted.
 REMEMBERED_REQUESTS = 8
-# Grants to one server that may all be on their way; the next request is answered when some have expired.
+# Unconfirmed grants to one server; further requests are answered once some have expired.
 MAX_OUTSTANDING = 8
-# Targets are computed this many times in the duration of a grant.
+# Targets are computed this many times within the duration of a grant.
 TARGETS_PER_DURATION = 8
 
 
 class QuotaSource(Enum):
-    """Where a server's own quota comes from. The values are shown by `valeturn fleet status`."""
+    """The origin of a server's quota. The values are shown by `valeturn fleet status`."""
 
     STARTING = "starting"
     GUARANTEED = "sure"
@@ -62,21 +62,21 @@
 
 
 class QuotaRequest(NamedTuple):
-    """What a server sends to the leader."""
+    """A server's request to the leader."""
 
     need: float
     sent_at: float  # by the server's own clock; echoed in the grant
-    current_grant: GrantId  # the one that the server goes by, which confirms it
+    current_grant: GrantId  # the grant that the server uses now, which this confirms
 
 
 class QuotaGrant(NamedTuple):
-    """What the leader answers."""
+    """The leader's answer to a request."""
 
     fencing_token: int
-    number: int  # rises with each grant of a leader
+    number: int  # increases with each grant of a leader
     amount: float
     request_sent_at: float  # by the server's own clock, as in its request
-    duration: float  # s
+    duration: float  # seconds
 
     def is_valid(self, longest: float) -> bool:
         """Return whether the amount and the duration are in range."""
@@ -84,15 +84,15 @@
 
 
 def reduced_duration(duration: float) -> float:
-    """Return the seconds of its own clock that a server keeps to a reduced quota.
+    """Return the seconds, by its own clock, for which a server keeps a reduced quota.
 
-    At least twice the grant's duration by any clock.
+    This is at least twice the grant's duration by any clock.
     """
     return 2 * duration * (1 + CLOCK_DRIFT)
 
 
 class QuotaClient:
-    """A server's side: what it may use now."""
+    """The server's side: the quota that it may use now."""
 
     def __init__(self, now: float, guaranteed: float, grant_duration: float) -> None:
         """Start with the quota that is never lent.
@@ -112,8 +112,8 @@
         self.stale_count = 0
 
     def available(self, now: float) -> float:
-        """Return how many calls may be out now; to be asked before each use."""
-        # The guaranteed quota is valid for ever. Its source is not looked at: this is asked for each call.
+        """Return how many calls may be in progress now; to be called before each use."""
+        # The guaranteed quota is always valid. The source is not checked, as this runs for each call.
         if now >= self.valid_until:
             self._use(QuotaSource.GUARANTEED, self.guaranteed, math.inf)
         return self.amount
@@ -125,10 +125,10 @@
         return QuotaRequest(float(need), now, self.current_grant)
 
     def accept(self, now: float, grant: QuotaGrant) -> bool:
-        """Take a grant and return whether it holds.
+        """Handle a grant and return whether it is accepted.
 
-        A grant of a leader that was followed by another is rejected, and one that is older than the current
-        one, that answers no remembered request, or that was on its way for its whole duration.
+        A grant is rejected if a later leader has sent one, if it is older than the current one, if it answers
+        none of the latest requests, or if it arrives after its whole duration.
         """
         if not grant.is_valid(self.grant_duration):
             return False
@@ -203,8 +203,8 @@
         Args:
             now: the time.
             fencing_token: the token of the singleton task under which the limit is split.
-            limit: calls that may be out on all servers together.
-            max_servers: the most servers that there may ever be.
+            limit: calls that may be in progress on all servers together.
+            max_servers: the maximum number of servers.
             grant_duration: seconds of each grant.
         """
         self.fencing_token = fencing_token
@@ -214,16 +214,16 @@
         self.guaranteed = limit / max_servers
         self.number = 0
         self.servers: dict[str, ServerQuota] = {}
-        # Until then grants of an earlier leader may still hold.
+        # Until then grants of an earlier leader may still be valid.
         self.lending_from = now + grant_duration * (1 + CLOCK_DRIFT)
         self.targets: dict[str, float] = {}
         self.targets_computed_at = -math.inf
 
     def handle_request(self, now: float, name: str, request: QuotaRequest) -> QuotaGrant | None:
-        """Return a grant, or None where none is possible now and the server goes on by what it has.
+        """Return a grant, or None where none is possible now and the server keeps its current quota.
 
-        None is also the answer until all that an earlier leader lent has expired: even to give the guaranteed
-        quota back would take it from the server that borrowed it.
+        It is also None until all that an earlier leader lent has expired: even returning the guaranteed quota
+        would take it from the server that borrowed it.
         """
         server = self._server(now, name)
         if server is None:
@@ -267,7 +267,7 @@
         }
 
     def _server(self, now: float, name: str) -> ServerQuota | None:
-        """Return the record of a server, made where it is new; None where there is no room."""
+        """Return the record of a server, creating it for a new one; None at the maximum number of servers."""
         server = self.servers.get(name)
         if server is not None:
             return server
@@ -279,7 +279,7 @@
         return server
 
     def _confirm(self, server: ServerQuota, current_grant: GrantId) -> None:
-        """Take which grant a server goes by.
+        """Handle a server's report of the grant that it uses.
 
         A grant of an earlier leader, or none, confirms nothing: the server may use its guaranteed quota.
         """
@@ -298,29 +298,29 @@
             server.sent.remove(grant)
 
     def _expire(self, now: float, server: ServerQuota) -> None:
-        """Forget the grants that cannot be accepted any more.
+        """Remove the grants that can no longer be accepted.
 
-        Such a grant may have been accepted, and be over again, without any message from the server.
+        Such a grant may have been accepted, and have ended, without any message from the server.
         """
         for grant in [sent for sent in server.sent if now >= self._expires_at(sent)]:
             server.sent.remove(grant)
             server.forget_reduction(max(server.reduced_after, grant.number))
 
     def _expires_at(self, grant: SentGrant) -> float:
-        """Return when a grant cannot be accepted any more, and what it lent is over, by this clock."""
+        """Return the time by this clock after which a grant can't be accepted and its loan is over."""
         return grant.sent_at + self.grant_duration * (1 + CLOCK_DRIFT)
 
     def _amount(self, now: float, name: str, server: ServerQuota) -> float:
         target = self._current_targets(now).get(name, self.guaranteed)
         amount = min(target, self.limit - self.committed(now) + self.upper_limit(now, name))
-        if amount >= self.guaranteed:  # from here on it may fall back to its guaranteed quota at any time
+        if amount >= self.guaranteed:  # from now on it may return to its guaranteed quota at any time
             server.forget_reduction(self.number + 1)
             return amount
-        # It stays lent: others use what is missing to its guaranteed quota, for one duration at the most.
+        # The rest of its guaranteed quota stays lent to others for at most one duration.
         return max(NEVER_LENT * self.guaranteed, amount)
 
     def _current_targets(self, now: float) -> dict[str, float]:
-        """Return the target of each server by name, computed anew a few times in a grant's duration."""
+        """Return the target of each server by name, recomputed several times within a grant's duration."""
         is_recent = now - self.targets_computed_at < self.grant_duration / TARGETS_PER_DURATION
         if not is_recent or len(self.targets) != len(self.servers):
             self.targets_computed_at = now
@@ -328,29 +328,29 @@
         return self.targets
 
     def _compute_targets(self, now: float) -> dict[str, float]:
-        """Give each server what it needs and a margin, cut down to an even part where that is too much.
+        """Return for each server its need with a margin, reduced to an even share where the sum is too much.
 
-        This is max-min fairness: the smallest needs are met first. What is left is spread evenly.
+        This is max-min fairness: the smallest needs are met first. The rest is distributed evenly.
         """
         known = {
             name: server
             for name, server in self.servers.items()
             if now - server.requested_at <= UNKNOWN_AFTER * self.grant_duration
         }
-        left = self.limit - self.guaranteed * (self.max_servers - len(known))
+        remaining = self.limit - self.guaranteed * (self.max_servers - len(known))
         least = NEVER_LENT * self.guaranteed
         wanted = sorted((max(least, TARGET_MARGIN * server.need), name) for name, server in known.items())
         targets = {}
         servers_left = len(wanted)
         for amount, name in wanted:
-            targets[name] = min(amount, left / servers_left)
-            left = left - targets[name]
+            targets[name] = min(amount, remaining / servers_left)
+            remaining = remaining - targets[name]
             servers_left -= 1
-        spare = left / len(known) if known else 0.0
+        spare = remaining / len(known) if known else 0.0
         return {name: target + spare for name, target in targets.items()}
 
     def _forget_unknown(self, now: float) -> None:
-        """Forget servers whose last request is so old that all their grants have expired."""
+        """Remove servers whose last request is so old that all their grants have expired."""
         oldest = max(UNKNOWN_AFTER * self.grant_duration, 2 * reduced_duration(self.grant_duration))
         for name, server in list(self.servers.items()):
             if now - server.requested_at > oldest:
