--- a/valeturn/cluster/raft.py
+++ b/valeturn/cluster/raft.py
@@ -1,15 +1,16 @@
 """Raft consensus for one node of the cluster, as a state machine without I/O.
 
 Follows "In Search of an Understandable Consensus Algorithm" (Raft; Ongaro and Ousterhout, 2014) and Ongaro's
-thesis (pre-vote, leadership transfer, one change of voters at a time). Messages and the time go in; what to
-store, what to send and what was committed come out. docs/design/one-owner.md argues for what differs:
+thesis (pre-vote, leadership transfer, one change of voters at a time). Messages and the time are the inputs;
+the state to store, the messages to send and the committed commands are the outputs. The deviations, which
+docs/design/one-owner.md justifies:
 
 - Leader lease: a leader acts only until `lease` after it sent the last round of heartbeats that a majority
-  acknowledged, by its own clock, which goes on through suspend. A voter that acknowledged a round gives no
+  acknowledged, by its own clock, which continues during suspend. A voter that acknowledged a round gives no
   vote for `lease` x (1 + CLOCK_DRIFT) by its own clock. So no other leader can act meanwhile, as long as no
   clock runs faster than another by more than CLOCK_DRIFT.
-- Lost durable state: what a voter has to remember (term, vote, log) is handed out as a `Persist` effect,
-  which has to be durable before the sends that follow it go out. A voter that returns without that state
+- Lost durable state: a voter's durable state (term, vote, log) is returned as a `Persist` effect, which has
+  to be durable before the sends that follow it are carried out. A voter that returns without that state
   gives no vote and counts in no majority until the leader's log has a command that adds its new incarnation.
 
 The log itself is in raft_log.py and the state that it replicates in replicated_state.py. This file is longer
@@ -48,7 +49,7 @@
 
 
 class Role(IntEnum):
-    """What a node does at present."""
+    """The role of a node."""
 
     FOLLOWER = 0
     PRE_CANDIDATE = 1
@@ -56,25 +57,25 @@
     LEADER = 3
 
 
-# Bound once: looking a member up in its class costs more than the comparison, and `holds_lease` runs often.
+# Bound once: reading an Enum's member costs more than the comparison, and `holds_lease` runs often.
 _LEADER = Role.LEADER
 
-# As `status` and the log of events print them, by the number of the role.
+# The names in `status` and in log events, by the number of the role.
 ROLE_NAMES = ("follower", "sounding", "candidate", "leader")
 
 
 class Event(IntEnum):
-    """What may move a node to another role."""
+    """The inputs that may change a node's role."""
 
     HIGHER_TERM = 0  # a message of a higher term
     LEADER_MESSAGE = 1  # a message of this term's leader
-    ELECTION_TIMEOUT = 2  # nothing of a leader for the election time-out
-    MAJORITY = 3  # a majority would vote for this node, or has
+    ELECTION_TIMEOUT = 2  # no message of a leader within the election time-out
+    MAJORITY = 3  # a majority would vote, or has voted, for this node
     LEASE_EXPIRED = 4  # the lease could not be renewed in time
     TIMEOUT_NOW = 5  # the leader asks this node to start an election at once
 
 
-# (role, event) -> (next role, method). A pair that is missing changes nothing.
+# (role, event) -> (next role, method). Pairs that are not listed change nothing.
 TRANSITIONS = {
     (Role.FOLLOWER, Event.ELECTION_TIMEOUT): (Role.PRE_CANDIDATE, "_start_pre_vote"),
     (Role.FOLLOWER, Event.TIMEOUT_NOW): (Role.CANDIDATE, "_start_election"),
@@ -95,31 +96,31 @@
 
 # Heartbeat interval as a fraction of the lease: three rounds may be lost before the lease expires.
 HEARTBEAT_INTERVAL = 0.25
-# By which fraction one clock may run faster than another: a hundred times what quartz oscillators do.
+# Fraction by which one clock may run faster than another: a hundred times the drift of quartz oscillators.
 CLOCK_DRIFT = 0.02
 # Fraction of the lease over which election time-outs are randomized, so that one node starts first.
 ELECTION_SPREAD = 0.5
-# Entries after the snapshot at twice which the log is compacted: enough for a follower that missed a while.
+# The log is compacted at twice this many entries after the snapshot: enough for a follower that missed some.
 LOG_ENTRIES_RETAINED = 256
-# Entries in one message: keeps a message of usual commands at some kilobytes.
+# Entries in one message: keeps a message of usual commands at a few kilobytes.
 ENTRIES_PER_MESSAGE = 64
 
-# Stored as the vote by a node that can't know whom it voted for in this term: it votes for nobody else.
+# Stored as the vote by a node that can't know its vote in this term, so that it does not vote again in it.
 UNKNOWN_CANDIDATE = "somebody"
 # The command of a `Committed` effect that stands for a whole snapshot.
 SNAPSHOT_INSTALLED = ("snapshot",)
-NEVER = -1.0  # a time that has passed on every clock
+NEVER = -1.0  # earlier than any time of a clock
 
 
 class RandomSource(Protocol):
-    """Where the randomized election time-outs come from."""
+    """The random numbers for election time-outs."""
 
     def random(self) -> float:
         """Return a number from 0 up to 1."""
 
 
 class Persist(NamedTuple):
-    """Make this state durable before any later send goes out."""
+    """Make this state durable before any later send is carried out."""
 
     durable: DurableState
 
@@ -146,7 +147,7 @@
 class HeartbeatRound(NamedTuple):
     """One round of messages to all voters."""
 
-    sent_at: float  # s, by the leader's clock
+    sent_at: float  # seconds of the leader's clock
     acknowledged_by: set[str]
 
 
@@ -167,20 +168,20 @@
 class RaftNode:
     """A voter, or a node that only receives the log.
 
-    All times are in seconds of this node's clock, which has to go on through suspend.
+    All times are in seconds of this node's clock, which has to continue during suspend.
 
     Attributes:
-        durable: The term, vote and log, as last handed out to be made durable or about to be.
-        state: The state after all committed commands known here.
+        durable: The term, vote and log, which were or will be returned in a `Persist` effect.
+        state: The state after all commands known here to be committed.
         commit_index: The last entry known to be committed.
         last_applied: The last entry that `state` includes.
-        role: What the node does at present.
-        leader: The leader of this term, as far as is known.
-        lease_until: Until when a leader may act.
-        votes_withheld_until: Until when no vote is given, as a leader's lease may rely on it.
+        role: The node's current role.
+        leader: The leader of this term, or None where it is not known.
+        lease_until: The time until which a leader may act.
+        votes_withheld_until: The time until which no vote is given, as a leader's lease may depend on it.
     """
 
-    # Kind of message -> (what its fields mean, the method that receives it).
+    # Kind of message -> (the type of its fields, the method that handles it).
     KINDS: ClassVar[dict[str, tuple[Callable[..., Any], str]]] = {
         messages.PRE_VOTE: (PreVote, "on_pre_vote"),
         messages.PRE_VOTE_RESPONSE: (PreVoteResponse, "on_pre_vote_response"),
@@ -192,7 +193,7 @@
         messages.APPEND_RESPONSE: (AppendResponse, "on_append_response"),
     }
 
-    def __init__(  # noqa: PLR0913, PLR0917 - the state of a restart and that of a bootstrap exclude one another
+    def __init__(  # noqa: PLR0913, PLR0917 - the arguments of a restart and those of a bootstrap
         self,
         name: str,
         incarnation: int,
@@ -209,10 +210,10 @@
         Args:
             name: The node's name, unique in the cluster.
             incarnation: The number of its durable state: a node that lost it has another one.
-            lease: Length of a leader's lease, s.
+            lease: Length of a leader's lease, seconds.
             random_source: For the election time-outs.
-            now: The time, s.
-            durable: What was found on disk, or None where there was nothing.
+            now: The current time, seconds.
+            durable: The state found on disk, or None where there was none.
             voters: At bootstrap, the same (name, incarnation) pairs on all nodes; then there is no `durable`.
             fencing_token: At bootstrap, the number above which fencing tokens begin.
             term: At bootstrap, the term after which terms begin, where an earlier cluster is restored.
@@ -223,7 +224,7 @@
         self.random_source = random_source
         founders = tuple(sorted(Voter(*voter) for voter in voters))
         if durable is None:
-            # The founders are a snapshot of index 1, so that a node that knows nothing is sent it.
+            # The founders are a snapshot with index 1, so that it is sent to a node without any state.
             snapshot = ClusterState(voters=founders, fencing_token=fencing_token)
             durable = DurableState(
                 term=term, snapshot_index=int(bool(founders)), snapshot=snapshot, state_lost=not founders
@@ -234,7 +235,7 @@
         self.last_applied = durable.snapshot_index
         self.role = Role.FOLLOWER
         self.leader: str | None = None
-        # A voter that has just started may have acknowledged a leader right before: it waits as if it had.
+        # A voter that has just started may have acknowledged a leader: it withholds its vote as if it had.
         self.votes_withheld_until = now + self.vote_withholding_time()
         self.votes_granted: set[str] = set()
         self.round_number = 0
@@ -242,18 +243,18 @@
         self.lease_until = NEVER
         self.step_down_at = now
         self.heartbeat_at = now
-        # Set once leadership is being transferred: this leader never acts in its term again.
+        # Set when a transfer of leadership begins: this leader never acts in its term again.
         self.transferring = False
         self.next_index: dict[str, int] = {}
         self.match_index: dict[tuple[str, int], int] = {}
         self._effects: list[Effect] = []
-        self._durable_changed = bool(founders)  # a founder remembers from the start that it is one
+        self._durable_changed = bool(founders)  # a founder stores this state at the start
         self._reset_election_timeout(now)
 
     # ---- queries
 
     def holds_lease(self, now: float) -> bool:
-        """Return whether this leader may act, to be asked after every wait and before every effect."""
+        """Return whether this leader may act; to be called after every wait and before every effect."""
         return self.role is _LEADER and now < self.lease_until
 
     def last_position(self) -> LogPosition:
@@ -273,11 +274,11 @@
         return self.durable.latest_voters()
 
     def matched(self) -> list[tuple[str, int]]:
-        """Return for each voter up to which index the log of its present incarnation is known to agree."""
+        """Return for each voter the index up to which its current incarnation's log is known to match."""
         return [(name, self.match_index.get((name, incarnation), 0)) for name, incarnation in self.voters()]
 
     def vote_withholding_time(self) -> float:
-        """Return for how long, in s, a voter that acknowledged a leader gives no vote."""
+        """Return the seconds for which a voter that acknowledged a leader gives no vote."""
         return self.lease * (1 + CLOCK_DRIFT)
 
     def _peers(self) -> list[str]:
@@ -288,16 +289,16 @@
         return 2 * len(set(names) & voters) > len(voters)
 
     def _may_change_voters(self) -> bool:
-        """Return whether no change is under way and an entry of this term is committed (thesis, erratum)."""
+        """Return whether all voter changes and an entry of this term are committed (thesis, erratum)."""
         uncommitted = self.durable.entries_after(self.commit_index)
         if any(entry.command[0] in VOTER_CHANGES for entry in uncommitted):
             return False
         return self.term_of(self.commit_index) == self.durable.term
 
-    # ---- time and requests of the server
+    # ---- time and the server's requests
 
     def tick(self, now: float) -> list[Effect]:
-        """Do what is due and return the effects in order; to be called a dozen times a lease."""
+        """Do what is due and return the effects in order; to be called a dozen times per lease."""
         if self.role is _LEADER:
             if now >= self.step_down_at:
                 self._transition(now, Event.LEASE_EXPIRED)
@@ -308,11 +309,11 @@
         return self.take_effects()
 
     def propose(self, now: float, command: Command) -> bool:
-        """Append a command to the leader's log; its effects come with the next `tick`.
+        """Append a command to the leader's log; the next `tick` returns the effects.
 
         Returns:
-            False where it can't be proposed now: without a lease, or where another change of voters is under
-            way.
+            False where it can't be proposed now: without a lease, or while another change of voters is
+            uncommitted.
         """
         if not self.holds_lease(now):
             return False
@@ -325,7 +326,7 @@
         return True
 
     def transfer_leadership(self, now: float, name: str) -> list[Effect]:
-        """Ask a voter whose log is complete to start an election at once, and act no more in this term."""
+        """Request a voter whose log is complete to start an election now, and stop acting in this term."""
         if self.holds_lease(now) and (name, self.last_position().last_index) in self.matched():
             self.lease_until = now
             self.transferring = True
@@ -336,9 +337,9 @@
     def readmit_voter(self, now: float, name: str, incarnation: int) -> bool:
         """Propose the next step that lets a node without its durable state vote again.
 
-        Takes two commands and is to be asked for until it is done: the earlier incarnation is removed, then
-        the new one added. If both were one step, a majority with the earlier incarnation and one with the new
-        one need not share a voter that remembers.
+        Takes two commands, so it is to be called until done: the earlier incarnation is removed, then the new
+        one added. With a single command, a majority with the earlier incarnation and one with the new one
+        might not share a voter that has its state.
 
         Returns:
             Whether a command was proposed.
@@ -353,7 +354,7 @@
     # ---- messages
 
     def receive(self, now: float, sender: str, kind: str, fields: Iterable[Any]) -> list[Effect]:
-        """Take a message and return the effects in order; fields of a wrong form are ignored."""
+        """Handle a message and return the effects in order; malformed messages are ignored."""
         if kind in self.KINDS:
             try:
                 message_type, method_name = self.KINDS[kind]
@@ -365,7 +366,7 @@
         return self.take_effects()
 
     def on_pre_vote(self, now: float, sender: str, message: PreVote) -> None:
-        """Answer whether this node would vote; no term rises, so that a partitioned node disturbs nobody."""
+        """Answer whether this node would vote; no term changes, so a partitioned node disturbs no leader."""
         would_vote = (
             self.may_vote()
             and message.term > self.durable.term
@@ -388,10 +389,10 @@
             self._count_vote(now, sender)
 
     def on_request_vote(self, now: float, sender: str, message: RequestVote) -> None:
-        """Vote for a candidate whose log is up to date, once a term.
+        """Vote for a candidate whose log is up to date, once per term.
 
-        While a leader's lease may rely on this voter, the vote is withheld also in a higher term, unless that
-        leader asked for the election.
+        While a leader's lease may depend on this voter, the vote is withheld even in a higher term, unless
+        that leader requested the election.
         """
         if not self.may_vote() or self.holds_lease(now):
             return
@@ -427,7 +428,7 @@
         index = message.previous_index
         previous_term = message.previous_term
         snapshot_index = self.durable.snapshot_index
-        if index < snapshot_index:  # what the snapshot includes is committed, and so agrees
+        if index < snapshot_index:  # the snapshot's entries are committed, and so they match
             entries = entries[snapshot_index - index :]
             index = snapshot_index
             previous_term = self.durable.snapshot_term
@@ -443,7 +444,7 @@
         self._acknowledge(sender, message.round_number, matches, match_index)
 
     def on_install_snapshot(self, now: float, sender: str, message: InstallSnapshot) -> None:
-        """Replace the state by a leader's snapshot, unless this node has applied as much."""
+        """Replace the state with a leader's snapshot, unless this node has applied as much already."""
         if message.term < self.durable.term:
             return
         snapshot = ClusterState.decode(message.state)
@@ -454,7 +455,7 @@
         self._acknowledge(sender, message.round_number, True, message.snapshot_index)
 
     def on_append_response(self, now: float, sender: str, message: AppendResponse) -> None:
-        """Take a follower's acknowledgement: renew the lease, commit, and send the entries that it lacks."""
+        """Handle a follower's acknowledgement: renew the lease, commit, and send missing entries."""
         if message.term > self.durable.term:
             self._transition(now, Event.HIGHER_TERM, term=message.term)
             return
@@ -494,7 +495,7 @@
         self._recognize_readmission()
 
     def _is_up_to_date(self, index: int, last_term: int) -> bool:
-        """Return whether a log that ends there has all that this one has (section 5.4.1 of the paper)."""
+        """Return whether a log that ends there is as up to date as this one (section 5.4.1 of the paper)."""
         last = self.last_position()
         return (last_term, index) >= (last.last_term, last.last_index)
 
@@ -513,11 +514,11 @@
         self._transition(now, Event.LEADER_MESSAGE)
 
     def _acknowledge(self, leader: str, round_number: int, success: bool, index: int) -> None:
-        """Answer a leader's message in the name of this incarnation.
+        """Answer a leader's message on behalf of this incarnation.
 
-        What an incarnation that lost its state has acknowledged counts for nothing. What this one
-        acknowledges counts once the leader's log has it as a voter; the earlier incarnation was removed by a
-        committed command then, so that no majority counts both.
+        Acknowledgements of an incarnation that lost its state do not count. Those of this one count once it
+        is a voter in the leader's log; by then a committed command has removed the earlier incarnation, so
+        that no majority counts both.
         """
         response = AppendResponse(self.durable.term, round_number, success, index, self.incarnation)
         self._send(leader, messages.APPEND_RESPONSE, response)
@@ -573,7 +574,7 @@
         self.step_down_at = now + self.lease
         self.next_index = {}
         self.match_index = {}
-        # An entry of its own term commits what earlier terms left (section 8 of the paper).
+        # An entry of its own term commits the entries of earlier terms (section 8 of the paper).
         self._append(LogEntry(self.durable.term, (NO_OP,)))
         self._send_heartbeats(now)
 
@@ -582,7 +583,7 @@
     def _send_heartbeats(self, now: float) -> None:
         """Send a round to all voters.
 
-        The lease counts from the time of sending, so that no delay of an answer lengthens it.
+        The lease begins at the time of sending, so that a delayed answer does not lengthen it.
         """
         self.heartbeat_at = now + HEARTBEAT_INTERVAL * self.lease
         self.round_number += 1
@@ -596,7 +597,7 @@
         self._advance_commit_index()
 
     def _send_append_entries(self, name: str) -> None:
-        """Send the entries that a follower lacks, or the snapshot where they are compacted away."""
+        """Send the entries that a follower lacks, or the snapshot where they were compacted."""
         durable = self.durable
         first = self.next_index.setdefault(name, self.last_position().last_index + 1)
         if first <= durable.snapshot_index:
@@ -625,11 +626,11 @@
         self.step_down_at = max(self.step_down_at, self.lease_until)
 
     def _advance_commit_index(self) -> None:
-        """Commit what a majority has, counting entries of this term alone (section 5.4.2 of the paper)."""
+        """Commit the entries that a majority has, up to one of this term (section 5.4.2 of the paper)."""
         index = self.last_position().last_index
         while index > self.commit_index and self.term_of(index) == self.durable.term:
-            having = [name for name, matched in self.matched() if matched >= index]
-            if self._majority([self.name, *having]):
+            holders = [name for name, matched in self.matched() if matched >= index]
+            if self._majority([self.name, *holders]):
                 self._commit_up_to(index)
                 break
             index -= 1
@@ -652,11 +653,11 @@
             self._store(self.durable.compacted(self.commit_index - LOG_ENTRIES_RETAINED // 2))
 
     def _recognize_readmission(self) -> None:
-        """Vote again as soon as the log has the command that adds this incarnation, committed or not.
+        """Become a voter again once the log has the command that adds this incarnation, committed or not.
 
-        The earlier incarnation was removed by a committed command before that was proposed, and the majority
-        that is to commit it, or to follow its leader, may need this voter. It does not vote in this term, in
-        which it may have voted before it lost its state.
+        A committed command removed the earlier incarnation before that one was proposed, and the majority
+        that commits it, or follows its leader, may need this voter. It does not vote in this term, in which
+        it may have voted before it lost its state.
         """
         if self.durable.state_lost and (self.name, self.incarnation) in self.voters():
             vote = self.leader or UNKNOWN_CANDIDATE
@@ -676,7 +677,7 @@
         self.election_at = now + self.vote_withholding_time() + spread
 
     def take_effects(self) -> list[Effect]:
-        """Return what is to be done, what has to be durable first: no send may go out before it is."""
+        """Return the effects, first the state that has to be durable before any send is carried out."""
         effects = self._effects
         self._effects = []
         if self._durable_changed:
--- a/valeturn/cluster/raft_log.py
+++ b/valeturn/cluster/raft_log.py
@@ -22,7 +22,7 @@
 
 
 class DurableState(NamedTuple):
-    """What a voter has to remember through a restart (figure 2 of the Raft paper, with the snapshot).
+    """The state that a voter keeps across a restart (figure 2 of the Raft paper, with the snapshot).
 
     The field order is the order on disk.
     """
@@ -33,7 +33,7 @@
     snapshot_term: int = 0
     snapshot: ClusterState = ClusterState()
     entries: tuple[LogEntry, ...] = ()  # those after the snapshot
-    state_lost: bool = False  # an earlier incarnation's state is gone, and this one is no voter yet
+    state_lost: bool = False  # an earlier incarnation's state was lost, and this one is not a voter yet
 
     def last_position(self) -> LogPosition:
         """Return the position of the log's last entry."""
@@ -41,7 +41,7 @@
         return LogPosition(self.snapshot_index + len(self.entries), term)
 
     def term_of(self, index: int) -> int | None:
-        """Return the term of an entry, or None where the log doesn't have it or only the snapshot does."""
+        """Return the term of an entry, or None where the log doesn't have the entry itself."""
         if index == self.snapshot_index:
             return self.snapshot_term
         if self.snapshot_index < index <= self.last_position().last_index:
@@ -53,7 +53,7 @@
         return self.entries[max(0, index - self.snapshot_index) :]
 
     def latest_voters(self) -> tuple[Voter, ...]:
-        """Return the voters of the latest configuration in the log, committed or not, as Raft asks for."""
+        """Return the voters of the latest configuration in the log, committed or not, as Raft requires."""
         voters = self.snapshot.voters
         for entry in self.entries:
             if entry.command[0] in VOTER_CHANGES:
@@ -63,8 +63,8 @@
     def with_entries(self, index: int, entries: list[LogEntry]) -> DurableState:
         """Return the state after a leader's entries that follow `index`.
 
-        Entries that contradict the leader's are replaced with all that follow them; entries that agree
-        stay, also where the message has fewer of them than the log.
+        Entries that conflict with the leader's are replaced together with all that follow them; matching
+        entries stay, even where the message has fewer of them than the log.
         """
         for offset, entry in enumerate(entries, 1):
             position = index + offset
--- a/valeturn/cluster/raft_messages.py
+++ b/valeturn/cluster/raft_messages.py
@@ -1,11 +1,11 @@
-"""The messages between Raft nodes: their kinds on the wire and their fields, in the order of the wire."""
+"""The messages between Raft nodes: their kinds on the wire and their fields in wire order."""
 
 from __future__ import annotations
 
 from types import NoneType
 from typing import Any, Final, NamedTuple
 
-# Kinds as they stand on the wire.
+# Kinds on the wire.
 PRE_VOTE = "sound"
 PRE_VOTE_RESPONSE = "would"
 REQUEST_VOTE = "vote"
@@ -42,7 +42,7 @@
 
 
 class VoteResponse(NamedTuple):
-    """Says that the sender votes for the receiver; a refusal is not sent."""
+    """States that the sender votes for the receiver; a refusal is not sent."""
 
     term: int
 
@@ -71,7 +71,7 @@
     round_number: int
     snapshot_index: int
     snapshot_term: int
-    state: list[Any]  # as `ClusterState.encode` gives it
+    state: list[Any]  # from `ClusterState.encode`
 
 
 class AppendResponse(NamedTuple):
@@ -80,7 +80,7 @@
     term: int
     round_number: int
     success: bool
-    match_index: int  # or, without success, where the leader may try next
+    match_index: int  # or, without success, the index that the leader may try next
     incarnation: int  # the sender's
 
 
--- a/valeturn/cluster/replicated_state.py
+++ b/valeturn/cluster/replicated_state.py
@@ -1,7 +1,7 @@
 """The state machine that the Raft log replicates: voters, singleton task leases, maintenance requests.
 
-A command is a tuple of its kind and its arguments, as the log has it in a message or a file. Commands of an
-unknown kind change nothing, so that a server of an earlier version follows a log with newer ones.
+A command is a tuple of its kind and its arguments, as in the log. Commands of an unknown kind change nothing,
+so that a server of an earlier version can follow a log with newer commands.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from typing import Any, Final, NamedTuple
 
-# Kinds of commands as they stand in messages and on disk; their arguments are named by the methods below.
+# Kinds of commands in messages and on disk; the methods below name their arguments.
 GRANT_LEASE = "grant"
 RELEASE_LEASE = "drop"
 PUT_MAINTENANCE = "turn"
@@ -44,7 +44,7 @@
 
 
 def decode_command(encoded: Iterable[Any]) -> Command:
-    """Return a command as the log has it, from a list of a message or a file.
+    """Return a command in the log's form, from a list in a message or a file.
 
     Raises:
         TypeError: `encoded` is not iterable.
@@ -53,7 +53,7 @@
 
 
 def check_command(command: Command) -> None:
-    """Check the form of a command that was received; one of an unknown kind may have any arguments.
+    """Check the form of a received command; one of an unknown kind may have any arguments.
 
     Raises:
         TypeError: Its kind or an argument has a wrong type.
@@ -84,7 +84,7 @@
 def with_voter_change(voters: tuple[Voter, ...], command: Command) -> tuple[Voter, ...]:
     """Return the voters after a command that adds or removes one.
 
-    Adding a voter that is there changes nothing: an earlier incarnation has to be removed first.
+    Adding a voter that exists changes nothing: an earlier incarnation has to be removed first.
 
     Raises:
         ValueError: The command that adds a voter has too few or too many arguments.
@@ -98,7 +98,7 @@
 
 
 class TaskLease(NamedTuple):
-    """A singleton task and the voter that was granted it."""
+    """A singleton task and the voter to which it was granted."""
 
     task: str
     holder: str
@@ -107,16 +107,16 @@
 
 
 class ClusterState(NamedTuple):
-    """The state after all commands up to some index were applied; an immutable value."""
+    """The state after applying all commands up to some index; an immutable value."""
 
     voters: tuple[Voter, ...] = ()  # sorted by name
     task_leases: tuple[TaskLease, ...] = ()  # sorted by task
-    fencing_token: int = 0  # the largest that was granted
+    fencing_token: int = 0  # the highest that was granted
     maintenance_records: tuple[MaintenanceRecord, ...] = ()  # sorted by server
     maintenance_held: bool = False  # no further server may begin to drain
 
     def task_lease(self, task: str) -> TaskLease | None:
-        """Return the lease of a singleton task, or None where nobody was granted it."""
+        """Return the lease of a singleton task, or None where it is not granted."""
         return next((lease for lease in self.task_leases if lease[0] == task), None)
 
     def apply(self, command: Command) -> ClusterState:
@@ -144,7 +144,7 @@
         return self._replace(task_leases=tuple(row for row in self.task_leases if row[0] != arguments[0]))
 
     def _put_maintenance(self, arguments: list[Any]) -> ClusterState:
-        """Store a record; one that becomes granted is given the next fencing token."""
+        """Store a record; one that becomes granted gets the next fencing token."""
         (encoded,) = arguments
         record = list(encoded)
         token = self.fencing_token
@@ -169,11 +169,11 @@
         return self._replace(voters=with_voter_change(self.voters, (REMOVE_VOTER, *arguments)))
 
     def _raise_fencing_token(self, arguments: list[Any]) -> ClusterState:
-        """Continue above every token of a cluster that lost its majority and was restored by an operator."""
+        """Raise the token above those of a cluster that lost its majority and was restored by an operator."""
         return self._replace(fencing_token=max(self.fencing_token, arguments[0]))
 
     def encode(self) -> list[Any]:
-        """Return the state as lists, as a snapshot has it in a message and on disk."""
+        """Return the state as lists, for snapshots in messages and on disk."""
         return [
             [list(voter) for voter in self.voters],
             [list(lease) for lease in self.task_leases],
@@ -183,8 +183,8 @@
         ]
 
     @classmethod
-    def decode(cls, encoded: Any) -> ClusterState:  # noqa: ANN401 - whatever a message brought
-        """Return the state that `encode` gave.
+    def decode(cls, encoded: Any) -> ClusterState:  # noqa: ANN401 - unchecked input
+        """Return the state from the lists of `encode`.
 
         Raises:
             TypeError: A value has a wrong type.
@@ -207,7 +207,7 @@
     """Return a value that has to be a whole number: not true, 1.0 or "1".
 
     Raises:
-        TypeError: It is none.
+        TypeError: The value is not a whole number.
     """
     if type(value) is not int:
         raise TypeError(f"wants a whole number, has {value!r}")
--- a/valeturn/cluster/singleton_tasks.py
+++ b/valeturn/cluster/singleton_tasks.py
@@ -1,6 +1,6 @@
-"""The singleton tasks of a cluster as one server sees them: who holds a task, when its command runs. No I/O.
+"""The singleton tasks of a cluster on one server: whether it holds a task, and when its command runs. No I/O.
 
-A task is held in the term of a leader: a grant that was committed in an earlier term does not count in this
+A task is held in the term of a leader: a grant that was committed in an earlier term is not valid in this
 one, even if the leader is the same, as another server may have acted in between. The fencing token of a held
 task is the number of its grant.
 """
@@ -13,11 +13,11 @@
 
 from .task_options import RUN, SingletonTaskOptions
 
-# Seconds from one request for a grant to the next: a committed grant takes two round trips.
+# Seconds between requests for a grant: a grant takes two round trips to be committed.
 GRANT_REQUEST_INTERVAL_S = 1.0
-# Seconds to the next start of a command that failed, where its options give no interval.
+# Seconds until a failed command is started again, where its options give no interval.
 RETRY_INTERVAL_S = 5.0
-# Before the first request, so that the first one is always due.
+# The time of the last request before the first one, so that the first is always due.
 NEVER = -1e9
 
 
@@ -30,7 +30,7 @@
 
 
 class TaskInput(Enum):
-    """What changes the state of a task."""
+    """The inputs of a task's state."""
 
     LEADING = "this server is the leader"
     GRANTED = "a grant to this server was committed in its term"
@@ -39,7 +39,7 @@
 
 
 class CommandState(Enum):
-    """What the command of a task does. The values are shown by `valeturn fleet status`."""
+    """The state of a task's command. The values are shown by `valeturn fleet status`."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -48,7 +48,7 @@
 
 
 class CommandInput(Enum):
-    """What changes the state of a command."""
+    """The inputs of a command's state."""
 
     DUE = "the task is held and the command is to start"
     ENDED = "the command and all that it started are gone"
@@ -57,8 +57,7 @@
     ACQUIRED = "the task is held under a new fencing token"
 
 
-# (state, input) -> (next state, name of the method that carries out the transition). A pair that is missing
-# changes nothing.
+# (state, input) -> (next state, name of the method for the transition). Other pairs change nothing.
 TASK_TRANSITIONS = {
     (TaskState.NOT_HELD, TaskInput.LEADING): (TaskState.REQUESTED, "_request_grant"),
     (TaskState.REQUESTED, TaskInput.LEADING): (TaskState.REQUESTED, "_repeat_grant_request"),
@@ -85,12 +84,12 @@
 class CommandOutcome(NamedTuple):
     """How a command ended."""
 
-    exit_code: int | None  # or the negated number of the signal; None where it never started or is unknown
+    exit_code: int | None  # or the negated signal number; None where it did not start or is unknown
     reason: str
-    output_tail: str  # the last of what it printed
+    output_tail: str  # the end of its output
 
     @classmethod
-    def without_exit(cls, reason: str) -> CommandOutcome:
+    def without_exit_code(cls, reason: str) -> CommandOutcome:
         """Return the outcome of a command whose exit code is not known."""
         return cls(None, reason, "")
 
@@ -99,7 +98,7 @@
     """The last run of a task's command."""
 
     outcome: CommandOutcome
-    duration: float  # s
+    duration: float  # seconds
     fencing_token: int
 
     def status(self) -> dict[str, object]:
@@ -136,7 +135,7 @@
     task: str
     command: str
     fencing_token: int
-    grace_period: float  # s from TERM to KILL
+    grace_period: float  # seconds from TERM to KILL
 
 
 class StopCommand(NamedTuple):
@@ -146,7 +145,7 @@
 
 
 class LogEvent(NamedTuple):
-    """An effect: write what became of a task to the log."""
+    """An effect: write an event of a task to the log."""
 
     event: str
     fields: dict[str, object]
@@ -165,14 +164,14 @@
         self.state_since = now
         self.command_state = CommandState.WAITING
         self.fencing_token = 0
-        self.term: int | None = None  # of the leader that the grant was committed under
+        self.term: int | None = None  # the leader's term in which the grant was committed
         self.requested_at = NEVER
         self.due_at = now
-        self.started_at = now  # means nothing before the first run
+        self.started_at = now  # valid only after the first run
         self.run_count = 0
         self.command_token = 0  # the fencing token that the command was started under
         self.last_run: CommandRun | None = None
-        self.removed = False  # from the operator's file; it goes once its command has ended
+        self.removed = False  # from the operator's file; deleted once its command has ended
 
     def is_held(self, term: int | None) -> bool:
         """Return whether the task is held in this term."""
@@ -183,7 +182,7 @@
         return self.command_state in (CommandState.RUNNING, CommandState.STOPPING)
 
     def is_overdue(self, now: float) -> bool:
-        """Return whether the command has run for longer than it may."""
+        """Return whether the command has exceeded its time limit."""
         running = self.command_state is CommandState.RUNNING
         return running and now - self.started_at >= self.options.time_limit
 
@@ -216,11 +215,11 @@
         self._effects: list[Effect] = []
 
     def configure(self, now: float, configured: Mapping[str, SingletonTaskOptions]) -> list[Effect]:
-        """Take the tasks that the operator's file has now.
+        """Replace the tasks by those of the operator's file.
 
-        Changed options hold from the next start of the command. A task that is gone is stopped and given
-        back. One that is put back while its command is still being stopped keeps its entry, so that the
-        command's end is known before it starts again.
+        Changed options apply from the next start of the command. A task that was removed is stopped and
+        released. One that is added again while its command is still being stopped keeps its entry, so that
+        the command's end is known before it starts again.
         """
         for name, options in configured.items():
             task = self.tasks.get(name)
@@ -237,7 +236,7 @@
         return self._take_effects()
 
     def grant_committed(self, now: float, term: int, name: str, fencing_token: int) -> list[Effect]:
-        """Take a grant to this server that was committed in a term of its own."""
+        """Handle a grant to this server that was committed in a term of its leadership."""
         task = self.tasks.get(name)
         if task is not None and term == self.term and not task.removed:
             task.fencing_token = fencing_token
@@ -246,7 +245,7 @@
         return self._take_effects()
 
     def command_ended(self, now: float, name: str, outcome: CommandOutcome) -> list[Effect]:
-        """Take the outcome of a command: it and all that it started are gone."""
+        """Handle the outcome of a command: it and all processes that it started have ended."""
         task = self.tasks.get(name)
         if task is not None:
             duration = now - task.started_at if task.run_count else 0.0
@@ -255,10 +254,10 @@
         return self._take_effects()
 
     def tick(self, now: float, term: int | None) -> list[Effect]:
-        """Let time pass.
+        """Do what is due.
 
         Args:
-            now: the time.
+            now: the current time.
             term: the term of this server's leadership while it may act, else None.
         """
         if term != self.term:
@@ -274,7 +273,7 @@
         return self._take_effects()
 
     def status(self, now: float) -> dict[str, dict[str, object]]:
-        """Return what `valeturn fleet status` shows of each task, by name."""
+        """Return the status of each task for `valeturn fleet status`, by name."""
         return {name: task.status(now) for name, task in sorted(self.tasks.items())}
 
     def _tick_task(self, now: float, task: SingletonTask) -> None:
@@ -335,7 +334,7 @@
         task.run_count += 1
         task.command_token = task.fencing_token
         options = task.options
-        # Commands that run have one: see task_options.
+        # A task that runs a command has one: see task_options.
         command = options.command or ""
         self._effects.append(StartCommand(task.name, command, task.fencing_token, options.grace_period))
 
@@ -351,7 +350,7 @@
             task.due_at = now + RETRY_INTERVAL_S
         else:
             task.due_at = max(now, task.started_at + interval)
-        # One that was started under an earlier token was stopped for the present one, however it ended.
+        # A command of an earlier token was stopped because of the current one, whatever its exit code.
         succeeded = run.outcome.exit_code == 0 and run.fencing_token == task.fencing_token
         if succeeded and interval is None and task.state is TaskState.HELD and not task.removed:
             task.command_state = CommandState.DONE
--- a/valeturn/cluster/suspicion.py
+++ b/valeturn/cluster/suspicion.py
@@ -1,8 +1,8 @@
-"""Suspected members and when a suspicion becomes a death; this server's trust in its own probes.
+"""Suspected members and the time until they count as dead; the health of this server's own probes.
 
 After "Lifeguard: Local Health Awareness for More Accurate Failure Detection" (Dadgar, Phillips, Currey): a
-suspicion starts with a long timeout, which shrinks with each member that suspects independently, and a server
-whose own probes fail stretches its timers, because the fault may be its own.
+suspicion starts with a long timeout, which shortens with each member that suspects independently, and a
+server whose own probes fail lengthens its timers, because the fault may be its own.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 SUSPICION_MULTIPLIER = (
     4.0  # probe intervals, times the log of the cluster's size: below Lifeguard's alpha of 5
 )
-MAX_TIMEOUT_MULTIPLIER = 6.0  # times the least timeout, while nobody else suspects: Lifeguard's beta
-CONFIRMATIONS = 3  # independent suspicions after which the least timeout holds: Lifeguard's K
-MAX_LOCAL_HEALTH = 8  # the most that the local health multiplier rises, one probe interval a step: its S
+MAX_TIMEOUT_MULTIPLIER = 6.0  # times the shortest timeout, while no other member suspects: Lifeguard's beta
+CONFIRMATIONS = 3  # independent suspicions after which the shortest timeout applies: Lifeguard's K
+MAX_LOCAL_HEALTH = 8  # maximum score, each step adds one probe interval: Lifeguard's S
 
 
 class LocalHealth:
@@ -25,11 +25,11 @@
 
     @property
     def multiplier(self) -> int:
-        """The factor by which this server's timers are stretched, from 1."""
+        """The factor, at least 1, by which this server's timers are lengthened."""
         return 1 + self.score
 
     def adjust(self, steps: int) -> None:
-        """Raise the score by so many steps, or lower it, between 0 and MAX_LOCAL_HEALTH."""
+        """Add `steps`, which may be negative, to the score, within 0 and MAX_LOCAL_HEALTH."""
         self.score = min(MAX_LOCAL_HEALTH, max(0, self.score + steps))
 
 
@@ -45,11 +45,11 @@
 
     @property
     def confirmations(self) -> int:
-        """How many members beside the first suspect independently."""
+        """The number of members besides the first that suspect independently."""
         return len(self.suspected_by) - 1
 
     def confirm(self, suspected_by: str) -> bool:
-        """Return whether this is a new independent suspicion, as long as one still shortens the timeout."""
+        """Record a suspicion; return whether it is a new independent one that still shortens the timeout."""
         if suspected_by in self.suspected_by or len(self.suspected_by) > CONFIRMATIONS:
             return False
         self.suspected_by.add(suspected_by)
@@ -60,10 +60,10 @@
     """Return the time from a suspicion to the member's death, in seconds.
 
     Args:
-        live_count: members that are alive or suspected, this server included.
-        confirmations: independent suspicions beside the first.
-        interval: s between probes.
-        health_multiplier: the factor that this server's own probes call for.
+        live_count: number of members that are alive or suspected, including this server.
+        confirmations: number of independent suspicions besides the first.
+        interval: seconds between probes.
+        health_multiplier: the factor from `LocalHealth`.
     """
     shortest = SUSPICION_MULTIPLIER * max(1.0, math.log10(max(2, live_count))) * interval * health_multiplier
     confirmed = min(CONFIRMATIONS, max(0, confirmations))
--- a/valeturn/cluster/task_options.py
+++ b/valeturn/cluster/task_options.py
@@ -10,29 +10,29 @@
 from ..operator_config.value_types import Choice, Quantity, Text, WholeNumber
 from . import limits
 
-# Fraction of the lease, before its end, at which a command is killed that did not heed TERM: the same as in
+# Fraction of the lease, before its end, at which a command that ignored TERM is killed: the same as in
 # process_guard.py, which imports nothing from here.
 KILL_MARGIN = 0.15
-# Longest grace period, as a fraction of the lease: with KILL_MARGIN it is under half of the lease, which is
-# what a healthy leader always has left.
+# Longest grace period, as a fraction of the lease: with KILL_MARGIN it is under half of the lease, which a
+# healthy leader always has left.
 LONGEST_GRACE_PERIOD = 0.3
-# Seconds that a command may run at the most where the file does not say and its interval leaves more.
+# Maximum seconds that a command may run where the file has no limit and the interval is longer.
 DEFAULT_TIME_LIMIT_S = 60.0
 DAY_S = 86400.0
 
-# Kinds of tasks, as the file names them.
+# Kinds of tasks, by their names in the file.
 RUN = "run"
 SHARE_CALLS = "share-calls"
 KINDS = (RUN, SHARE_CALLS)
-# What keeps late effects of an earlier lease holder off, as the file names it. NUMBER: the resource compares
-# fencing tokens. CLOCK: only the lease does.
+# The protection against late effects of an earlier lease holder, by its name in the file. NUMBER: the
+# resource compares fencing tokens. CLOCK: only the lease protects.
 NUMBER = "number"
 CLOCK = "clock"
 NONE = "none"
 
 
 class ServerConfiguration(Protocol):
-    """What is used of the server's configuration."""
+    """The part of the server's configuration that is used here."""
 
     names: Any
 
@@ -42,13 +42,13 @@
 
     kind: str
     command: str | None  # for a shell; of RUN
-    interval: float | None  # between starts; without it a command that succeeds is done for this lease holder
+    interval: float | None  # between starts; None: after a success this lease holder does not start it again
     time_limit: float  # of one run
     grace_period: float  # from TERM to KILL
     fencing: str
-    call_limit: int | None  # calls that may be out on all servers together; of SHARE_CALLS
+    call_limit: int | None  # concurrent calls of all servers together; of SHARE_CALLS
     request_interval: float  # between a server's requests for its quota
-    where: Mapping[str, LocatedValue] = {}  # the place of each key in the file
+    where: Mapping[str, LocatedValue] = {}  # by key: the value's position in the file
 
 
 def build(
@@ -102,13 +102,13 @@
         yield options.where["most"].fault("over-every", "a run may still go on when the next is due")
 
 
-# The configuration and the sections below are those of operator_config/loader.py.
+# operator_config/loader.py passes the configuration and the sections below.
 
 
 def check_deployment(
     tasks: Mapping[str, SingletonTaskOptions], configuration: ServerConfiguration
 ) -> list[Fault]:
-    """Return the faults of all tasks together beside the server's configuration."""
+    """Return the faults of all tasks together, given the server's configuration."""
     faults = []
     sharing = [name for name, options in tasks.items() if options.kind == SHARE_CALLS]
     for name in sharing[1:]:
@@ -124,7 +124,7 @@
 
 
 def check_sections(tasks: Mapping[str, SingletonTaskOptions], sections: Mapping[str, Any]) -> list[Fault]:
-    """Return the faults of all tasks beside [fleet], without which no other server could hold them."""
+    """Return the faults of all tasks given [fleet], without which no other server could hold them."""
     cluster = sections.get("fleet")
     if cluster is None:
         return [
--- a/valeturn/cluster/task_processes.py
+++ b/valeturn/cluster/task_processes.py
@@ -1,6 +1,6 @@
-"""Run the commands of singleton tasks, each under a guard process that ends it with the lease.
+"""Runs the commands of singleton tasks, each under a guard process that ends it with the lease.
 
-The guard (process_guard.py) ends its command also where this server is stopped, slow or gone.
+The guard (process_guard.py) ends its command even if this server is stopped, slow or has ended.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 GUARD_PROGRAM = os.path.join(os.path.dirname(__file__), "process_guard.py")
 # Bytes kept of the guard's result: its JSON line escapes a byte of output in up to 8 characters.
 RESULT_BYTES = 8 * limits.OUTPUT_TAIL
-# Bytes read from a guard at once: what a Linux pipe holds.
+# Bytes read from a guard at once: the capacity of a Linux pipe.
 READ_BYTES = 65536
-# Seconds between checks whether a guard that has closed its output has ended: it does so at once.
+# Seconds between checks whether a guard that closed its output has ended, which it does immediately.
 EXIT_CHECK_INTERVAL_S = 0.01
 
 
 class GuardedCommand:
-    """One running command: its guard process, its fencing token and what the guard has reported."""
+    """One running command: its guard process, its fencing token and the guard's report."""
 
     def __init__(self, process: subprocess.Popen[bytes], fencing_token: int) -> None:
         self.process = process
@@ -43,22 +43,22 @@
             result = json.loads(self.result)
             return CommandOutcome(result["code"], result["why"], result["tail"])
         except (ValueError, KeyError, TypeError):
-            return CommandOutcome.without_exit(f"its guard ended with {self.process.returncode}")
+            return CommandOutcome.without_exit_code(f"its guard ended with {self.process.returncode}")
 
     def send(self, line: bytes) -> None:
         """Send one line to the guard."""
-        # A guard that has ended, or reads nothing, ends its command by its own clock.
+        # A guard that can't be reached ends its command when the lease that it knows expires.
         with contextlib.suppress(OSError, ValueError):
             os.write(self.guard_input.fileno(), line)
 
     def close_input(self) -> None:
-        """Close the guard's input, which it takes as the end of the server."""
+        """Close the guard's input, which means the end of the server to it."""
         with contextlib.suppress(OSError):
             self.guard_input.close()
 
 
 class TaskProcesses:
-    """All commands that run now, by the name of their task; at most one a task."""
+    """All running commands, by the name of their task; at most one per task."""
 
     def __init__(
         self,
@@ -66,12 +66,12 @@
         environment: Mapping[str, str],
         on_end: Callable[[str, CommandOutcome], None],
     ) -> None:
-        """Create it without any command.
+        """Start without any command.
 
         Args:
-            scheduler: runs the tasks that follow the guards.
-            environment: variables that each command has besides the server's own.
-            on_end: called with a task's name once its command and all that it started are gone.
+            scheduler: runs the tasks that wait for the guards.
+            environment: variables of each command in addition to the server's own.
+            on_end: called with a task's name once its command and all processes it started have ended.
         """
         self.scheduler = scheduler
         self.environment = environment
@@ -84,9 +84,9 @@
         """Start a command, and return its outcome only where it could not be started.
 
         Args:
-            name: the task that the command belongs to.
-            command: the text for the shell.
-            fencing_token: what the command finds in VALETURN_FENCE.
+            name: the command's task.
+            command: the command line for the shell.
+            fencing_token: the value of VALETURN_FENCE for the command.
             grace_period: seconds from TERM to KILL.
         """
         environment = {
@@ -104,7 +104,7 @@
                 stderr=subprocess.DEVNULL,
             )
         except OSError as error:
-            return CommandOutcome.without_exit(str(error))
+            return CommandOutcome.without_exit_code(str(error))
         guarded = GuardedCommand(process, fencing_token)
         os.set_blocking(guarded.guard_input.fileno(), False)
         os.set_blocking(guarded.guard_output.fileno(), False)
@@ -115,15 +115,15 @@
     def extend_leases(self, fencing_token_of: Callable[[str], int | None], lease_end: float) -> None:
         """Announce the end of the lease to each guard, in seconds of the boot clock.
 
-        A command under an older fencing token than its task has now is left out, so that its guard ends it
-        when the lease that was announced last is over.
+        A command with an older fencing token than its task has now is skipped, so that its guard ends it when
+        the lease that was announced last is over.
         """
         for name, guarded in self.running.items():
             if fencing_token_of(name) == guarded.fencing_token:
                 guarded.send(b"until %.6f\n" % lease_end)
 
     def stop(self, name: str) -> None:
-        """Ask the guard of a task's command, if one runs, to end it."""
+        """Instruct the guard of a task's command, if it is running, to end it."""
         if name in self.running:
             self.running[name].send(b"stop\n")
 
@@ -133,7 +133,7 @@
             guarded.close_input()
 
     def _follow(self, name: str, guarded: GuardedCommand) -> None:
-        """Wait until a guard has ended: by then the command and all that it started are gone."""
+        """Wait until a guard has ended, and with it the command and all processes it started."""
         self._read_result(guarded)
         guarded.close_input()
         while guarded.process.poll() is None:
--- a/valeturn/cluster/vote_file.py
+++ b/valeturn/cluster/vote_file.py
@@ -3,8 +3,8 @@
     file = b"valeturn vote 1\n" crc:4 msgpack [cluster, name, address, incarnation, state]      little-endian
 
 The state is durable before any message that depends on it is sent (Raft, "Persistent state on all servers").
-The file belongs to one server: a directory that was copied to another one, or moved to another address, is
-rejected, as two servers must not vote under one incarnation.
+The file belongs to one server: a directory that was copied to another server or address is rejected, as two
+servers must not vote under one incarnation.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 class StoredVote(NamedTuple):
-    """What a file holds."""
+    """The content of a file."""
 
     incarnation: int
     state: DurableState
@@ -82,10 +82,10 @@
 
 
 def decode(data: bytes, cluster: str, name: str, address: str) -> StoredVote:
-    """Return what the file of this server holds.
+    """Return the content of this server's file.
 
     Raises:
-        DamagedVoteFileError: it cannot be read. The server does not go on without its vote by itself: an
+        DamagedVoteFileError: it cannot be read. The server does not continue without its vote by itself: an
             operator has to remove the file.
         ForeignVoteFileError: it belongs to another server, cluster or address.
     """
@@ -112,7 +112,7 @@
 
 
 def _checked_content(data: bytes) -> bytes:
-    """Return what follows the checksum.
+    """Check the checksum and return the bytes after it.
 
     Raises:
         DamagedVoteFileError: the file is incomplete or its checksum does not match.
@@ -133,11 +133,11 @@
         self.lock_descriptor: int | None = None
 
     def lock(self) -> None:
-        """Make the directory where it is missing and lock it.
+        """Create the directory where it is missing and lock it.
 
         Raises:
             VoteDirectoryInUseError: another process has locked it.
-            OSError: it cannot be made or opened.
+            OSError: it cannot be created or opened.
         """
         os.makedirs(self.path, mode=0o700, exist_ok=True)
         lock_path = os.path.join(self.path, LOCK_NAME)
@@ -170,7 +170,7 @@
         """Replace the file atomically; it is durable on return.
 
         Raises:
-            OSError: the file cannot be written; the former one is still there.
+            OSError: the file cannot be written; the previous one is unchanged.
         """
         target = os.path.join(self.path, FILE_NAME)
         temporary = target + ".new"
--- a/valeturn/cluster/vote_persistence.py
+++ b/valeturn/cluster/vote_persistence.py
@@ -1,6 +1,6 @@
-"""Make a voter's state durable before the effects that depend on it are carried out.
+"""Makes a voter's state durable before the effects that depend on it are carried out.
 
-A voter must not send a message that rests on a vote, a term or an entry that it could forget (Raft,
+A voter must not send a message that depends on a vote, a term or an entry that is not durable (Raft,
 "Persistent state on all servers"). The writes themselves happen on a worker thread.
 """
 
@@ -13,27 +13,27 @@
 from .raft import Persist
 from .raft_log import DurableState
 
-# Seconds from a write that failed to the next.
+# Seconds from a failed write to the next.
 RETRY_INTERVAL_S = 1.0
-# The name of the write among the jobs of the worker thread.
+# The worker thread's tag for writes.
 JOB = "vote"
 
-# Any effect of the Raft machine: see raft.py.
+# Any effect of the Raft state machine: see raft.py.
 Effect = object
 
 
 class Directory(Protocol):
-    """Where the state is stored."""
+    """The directory in which the state is stored."""
 
     def write(self, data: bytes) -> None:
-        """Replace what is stored, durably."""
+        """Replace the stored state durably."""
 
 
 class Worker(Protocol):
     """The thread that writes."""
 
-    def submit(self, what: str, function: Callable[[bytes], None], /, *args: bytes) -> None:
-        """Call the function on the thread."""
+    def submit(self, tag: str, function: Callable[[bytes], None], /, *args: bytes) -> None:
+        """Call the function on the worker thread."""
 
 
 class VotePersistence:
@@ -45,10 +45,10 @@
         worker: Worker | None,
         encode: Callable[[DurableState], bytes],
     ) -> None:
-        """Start with nothing held back.
+        """Start without waiting effects.
 
         Args:
-            directory: where the state is stored; None where nothing outlasts the server.
+            directory: where the state is stored; None without a durable disk.
             worker: the thread that writes; None without a directory.
             encode: returns the bytes of a state.
         """
@@ -60,14 +60,14 @@
         self.failed_at: float | None = None
 
     def submit(self, effects: Iterable[Effect]) -> list[Effect]:
-        """Take effects and return those that can be carried out now, in order."""
+        """Queue effects and return those that can be carried out now, in order."""
         if self.directory is None:
             return [effect for effect in effects if not isinstance(effect, Persist)]
         self.waiting.extend(effects)
         return self.release()
 
     def release(self) -> list[Effect]:
-        """Return the effects that wait for no write any more, and start the next write."""
+        """Return the effects that no longer wait for a write, and start the next write."""
         released: list[Effect] = []
         while self.waiting and not self.writing:
             effect = self.waiting.popleft()
@@ -80,20 +80,20 @@
     def write(self, state: DurableState) -> None:
         """Start a write on the worker thread.
 
-        Without a directory there is nothing to write to: nobody asks for it then.
+        Not called without a directory.
         """
         self.writing = True
         if self.directory is not None and self.worker is not None:
             self.worker.submit(JOB, self.directory.write, self.encode(state))
 
     def write_finished(self, now: float, result: object) -> list[Effect]:
-        """Take the result of a write and return the effects that can be carried out now.
+        """Handle the result of a write and return the effects that can be carried out now.
 
-        After an error the effects that waited for the write are dropped: this server votes no more until its
-        disk takes the state.
+        After an error the effects that waited for the write are dropped: this server does not vote until a
+        write succeeds.
 
         Args:
-            now: the time.
+            now: the current time in seconds.
             result: an OSError where the write failed.
         """
         self.writing = False
@@ -109,9 +109,9 @@
         return self.failed_at is not None and not self.writing and now - self.failed_at >= RETRY_INTERVAL_S
 
     def _write_latest(self, first: Persist) -> None:
-        """Write the last of all waiting states in place of each.
+        """Write only the latest of all waiting states.
 
-        The effects between them go out later than they might, which is harmless.
+        The effects between them are delayed until that write ends, which is harmless.
         """
         latest = first.durable
         effects: deque[Effect] = deque()
--- a/valeturn/cluster/voter_changes.py
+++ b/valeturn/cluster/voter_changes.py
@@ -1,4 +1,4 @@
-"""Add voters to the cluster and remove them: at an operator's request, or after one has lost its state."""
+"""Adds voters to the cluster and removes them: at an operator's request, or after one lost its state."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 class VoterChanges:
-    """What a leader knows of servers that would vote and do not."""
+    """The leader's record of servers that are ready to vote but are not voters, and its changes of voters."""
 
     def __init__(self, node: ClusterNode) -> None:
         self._node = node
-        self._candidates: dict[str, int] = {}  # name -> incarnation of those that said they would vote
-        self._requested: set[str] = set()  # names that an operator wants added
+        self._candidates: dict[str, int] = {}  # name -> incarnation of servers that announced themselves
+        self._requested: set[str] = set()  # names of servers that an operator requested to add
 
     def record_candidate(self, name: str, incarnation: int) -> None:
-        """Remember a server that would vote."""
+        """Record a server that is ready to vote."""
         self._candidates[name] = incarnation
         if len(self._candidates) > limits.MEMBERS:
             self._candidates.clear()
 
     def tick(self, now: float) -> None:
-        """Readmit voters that lost their state, and add those that an operator named; the leader's."""
+        """On the leader, readmit voters that lost their state, and add those that an operator requested."""
         node = self._node
         voters = dict(node.raft.state.voters)
         named = {*voters, *self._requested, *node.options.voters}
@@ -40,7 +40,7 @@
             node.carry_out(node.raft.tick(now))
 
     def add(self, name: str) -> str | None:
-        """Have a server added, and return why it can't be, or None."""
+        """Request that a server becomes a voter; return None, or the reason why it can't."""
         refusal = self._refusal()
         if refusal is not None:
             return refusal
@@ -55,7 +55,7 @@
         return None
 
     def remove(self, name: str) -> str | None:
-        """Propose to remove a voter, and return why it can't be, or None."""
+        """Propose to remove a voter; return None, or the reason why it can't be removed."""
         node = self._node
         refusal = self._refusal()
         if refusal is not None:
--- a/valeturn/degradation/condition_tracker.py
+++ b/valeturn/degradation/condition_tracker.py
@@ -6,8 +6,8 @@
 
 from .conditions import Baselines, Comparison, Condition, Readings
 
-# Seconds for which a comparison keeps its last result while its signal is missing. A signal that stops coming
-# must neither enter a level nor keep one for ever.
+# Seconds for which a comparison keeps its last result while its signal is missing. A signal that is no longer
+# measured must neither enter a level nor keep it active forever.
 MISSING_SIGNAL_GRACE = 5.0
 
 
@@ -24,7 +24,7 @@
 
 
 class ConditionTracker:
-    """Tracks one condition of one level; each comparison is timed for itself.
+    """Tracks one condition of one level; each comparison is timed separately.
 
     Args:
         condition: The condition to track.
@@ -39,8 +39,8 @@
         self._last_known: dict[Comparison, KnownResult] = {}
 
     def update(self, now: float, readings: Readings, baselines: Baselines) -> bool:
-        """Take in the readings of a sweep and return whether the condition has held as long as it must."""
-        # All are updated before the result is known: each comparison is timed by every reading.
+        """Update with new readings and return whether the condition has held for as long as required."""
+        # No short circuit: each comparison has to see every reading.
         met = [
             self._update_conjunction(now, conjunction, readings, baselines)
             for conjunction in self.condition.conjunctions
@@ -48,7 +48,7 @@
         return any(met)
 
     def holds_now(self, readings: Readings, baselines: Baselines) -> bool:
-        """Return whether the condition holds at this moment, for however short a time."""
+        """Return whether the condition holds for these readings, whatever its required duration."""
         return any(
             all(comparison.holds(readings, baselines) for comparison in conjunction)
             for conjunction in self.condition.conjunctions
--- a/valeturn/degradation/conditions.py
+++ b/valeturn/degradation/conditions.py
@@ -1,7 +1,7 @@
 """Conditions that enter and leave a degradation level, such as `calls.latency > 3 x usual for 2 s`.
 
-A condition is a disjunction of conjunctions of comparisons: `and` binds stronger than `or`. Each value has
-the unit of its signal; a value in the unit of another family is rejected with the family that it belongs to.
+A condition is a disjunction of conjunctions of comparisons: `and` binds tighter than `or`. Each value has
+the unit of its signal; a value in the unit of another family is rejected, and the error names that family.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from ..operator_config.value_types import UNITS_BY_DIMENSION, InvalidValueError
 
-# The families of units that signals are measured in, under the names of the operator's file.
+# The families of units that signals are measured in; the names appear in messages about the operator's file.
 TIME = "a time"
 RATIO = "a share"
 
@@ -29,7 +29,7 @@
     maximum: float
 
 
-# The signals by the names that the operator's file gives them; signals.py measures them.
+# The signals by their names in the operator's file; signals.py measures them.
 SIGNALS = {
     "calls.latency": SignalRange(TIME, 3600.0),
     "calls.failing": SignalRange(RATIO, 1.0),
@@ -38,7 +38,8 @@
     "memory": SignalRange(RATIO, 1.0),
     "turned_back": SignalRange(RATIO, 1.0),
 }
-# Seconds that a comparison may have to hold. After ten minutes of overload an operator decides, no threshold.
+# Maximum seconds for which a comparison may have to hold: a level for an overload that lasts longer than ten
+# minutes is a decision for an operator, not for a threshold.
 MAX_HOLD_DURATION = 600.0
 
 GRAMMAR = r"""
@@ -55,7 +56,7 @@
     %ignore /[ \t]+/
 """
 
-# The readings of one sweep by signal; None where a signal is missing or stale.
+# Measured values by signal; None where a signal is missing or stale.
 Readings = Mapping[str, float | None]
 # The learnt normal values by signal; a signal without one is absent.
 Baselines = Mapping[str, float]
@@ -105,7 +106,7 @@
     """A disjunction of conjunctions of comparisons.
 
     Attributes:
-        conjunctions: The alternatives; all comparisons of one of them must hold.
+        conjunctions: The alternatives; the condition holds where all comparisons of one of them hold.
     """
 
     conjunctions: tuple[tuple[Comparison, ...], ...]
@@ -121,7 +122,7 @@
 
 @functools.cache
 def _parser() -> Any:  # noqa: ANN401 - the parser's type would load lark at import
-    # Loading lark takes a while, which a server without degradation levels should not spend.
+    # lark is slow to import, and a server without degradation levels does not need it.
     from lark import Lark
 
     return Lark(GRAMMAR, start="condition", parser="lalr")
@@ -198,7 +199,7 @@
         """Parse a condition.
 
         Raises:
-            InvalidValueError: The text is no condition, or a comparison in it names an unknown signal, a
+            InvalidValueError: The text is not a condition, or a comparison in it has an unknown signal, a
                 wrong unit or a threshold that can never be passed.
         """
         from lark.exceptions import UnexpectedInput
--- a/valeturn/degradation/controller.py
+++ b/valeturn/degradation/controller.py
@@ -1,16 +1,16 @@
-"""Decides which degradation level a server is in: a state machine that is stepped at each sweep, without I/O.
+"""Decides which degradation level a server is in: a state machine that is stepped periodically, without I/O.
 
-A level is entered once its enter condition has held for as long as it says: one rank at a time, but in an
-emergency at once to the highest level whose condition holds, if that is two ranks or more above the present
-one. A level is left once its leave condition has held and its minimum stay is over, for the next lower level
-whose own leave condition does not hold, or for none.
+A level is entered once its enter condition has held for the duration that it requires: one rank at a time, or
+directly the highest level whose condition holds if that is two ranks or more above the current one. A level
+is left once its leave condition has held and its minimum stay is over, for the next lower level whose own
+leave condition does not hold, or for none.
 
-A level relieves the load that it was entered for, so its leave condition may hold only because of the level.
+A level reduces the load that it was entered for, so its leave condition may hold only because of the level.
 Therefore the last part of a stay is a probation: a growing ratio of the requests, those of the highest
-priority first, is exempt from the level. Should the enter condition hold meanwhile, the level applies in full
+priority first, is exempt from the level. If the enter condition holds during it, the level applies in full
 again without having been left, and its stay doubles. The stay doubles as well when a level is entered again
 soon after it was left, up to a limit that grows with the time for which the level has flapped. A doubled stay
-is halved for each quiet minute.
+is halved for each minute after the level was left.
 """
 
 from __future__ import annotations
@@ -26,25 +26,25 @@
 
 # Seconds after a level was left in which entering it again counts as flapping.
 FLAP_WINDOW = 60.0
-# The largest multiple of the minimum stay, reached after three returns in short succession.
+# The largest multiple of the minimum stay, reached when a level was entered again three times in a row.
 MAX_STAY_FACTOR = 8.0
-# The part of a level's flapping time that its stay may reach, where that is more than MAX_STAY_FACTOR allows:
-# returns get rarer the longer the flapping goes on, at any load. At a half, a level does not stay for as many
-# minutes again after an overload of minutes.
+# A stay may also reach this part of the time for which the level has flapped, so that it is entered less
+# often the longer the flapping lasts, at any load. With a half, the stay after an overload of some minutes is
+# shorter than the overload.
 FLAPPING_STAY_RATIO = 0.5
-# The most halvings of a stay factor at once: it bounds the exponent, as the quiet time before a level's first
-# entry is infinite. Three halvings undo MAX_STAY_FACTOR.
+# Maximum halvings of a stay factor at once: bounds the exponent, as the time since a level was left is
+# infinite before its first entry. Three halvings undo MAX_STAY_FACTOR.
 MAX_HALVINGS = 9.0
-# Steps of a probation. Each exempts a fifth more of the requests, less than the spare capacity that lets an
-# overloaded dependency recover.
+# Steps of a probation. Each exempts a further fifth of the requests, less than the spare capacity that an
+# overloaded dependency needs to recover.
 PROBATION_STEPS = 4
-# Seconds of a step: half of the time in which the signals decay. Twice that kept levels past their overload.
+# Seconds of a step: half of the signals' decay time. At twice that, levels outlasted their overload.
 PROBATION_STEP = 0.5
-# Changes in CHANGE_WINDOW at which a level is entered but not left any more.
+# Number of changes within CHANGE_WINDOW at which levels are still entered but no longer left.
 MAX_CHANGES = 6
 # Seconds over which changes are counted.
 CHANGE_WINDOW = 60.0
-# Ranks above the present one from which a level is entered at once, without those between.
+# Ranks above the current one from which a level is entered directly, without the levels between.
 EMERGENCY_RANKS = 2
 
 
@@ -52,17 +52,17 @@
     """The states of the controller; the values are the texts that `status` shows."""
 
     NORMAL = "calm"  # no level is active
-    ACTIVE = "in"  # a level is active by its condition
-    PROBATION = "on trial"  # a level is active, but exempts more and more requests
-    PINNED = "pinned"  # an operator holds a level for some time
+    ACTIVE = "in"  # a level is active because of its condition
+    PROBATION = "on trial"  # a level is active, but exempts a growing ratio of the requests
+    PINNED = "pinned"  # an operator has activated a level for some time
 
 
 class Input(Enum):
-    """What a sweep or an operator asks of the controller."""
+    """The inputs of the state machine, from a step or an operator."""
 
     HIGHER_LEVEL_DUE = "the enter condition of a higher level has held"
     HIGHER_LEVEL_DUE_WHILE_WARMING_UP = "the same, on a server that is warming up"
-    PROBATION_DUE = "the leave condition has held, and the stay is over but for the probation"
+    PROBATION_DUE = "the leave condition has held, and only the probation of the stay is left"
     RELAPSED = "on probation the enter condition holds, or the leave condition does not"
     RECOVERED_TO_LOWER_LEVEL = "the probation is over, and a lower level is still needed"
     RECOVERED = "the probation is over, and no level is needed"
@@ -72,7 +72,7 @@
 
 
 class Effect(Enum):
-    """What a transition does besides the change of state."""
+    """The action of a transition besides the change of state."""
 
     ENTER = "enter a higher level"
     BEGIN_PROBATION = "begin the probation of the active level"
@@ -83,14 +83,14 @@
 
 
 class Transition(NamedTuple):
-    """The next state and what to do on the way."""
+    """The next state and the effect of a transition."""
 
     state: State
     effect: Effect
 
 
-# The transitions. A pair that is missing changes nothing: HIGHER_LEVEL_DUE_WHILE_WARMING_UP never enters a
-# level, as busy cores are normal on a server that is warming up.
+# Pairs that are not listed change nothing: HIGHER_LEVEL_DUE_WHILE_WARMING_UP never enters a level, as busy
+# cores are normal on a server that is warming up.
 TRANSITIONS: Mapping[tuple[State, Input], Transition] = {
     (State.NORMAL, Input.HIGHER_LEVEL_DUE): Transition(State.ACTIVE, Effect.ENTER),
     (State.NORMAL, Input.PIN): Transition(State.PINNED, Effect.PIN),
@@ -114,12 +114,12 @@
     """A configured level.
 
     Attributes:
-        name: The name that the operator gave it.
+        name: Its name in the operator's file.
         rank: Its severity from 1, unique among the levels.
-        enter: The condition that enters it.
-        leave: The condition that lets it be left.
-        minimum_stay: Seconds for which it is active at least, with its probation.
-        restrictions: What the admission controller restricts while it is active.
+        enter: The condition under which it is entered.
+        leave: The condition under which it is left.
+        minimum_stay: Minimum seconds for which it is active, including its probation.
+        restrictions: The restrictions that the admission controller applies while it is active.
     """
 
     name: str
@@ -149,12 +149,12 @@
 
     Args:
         levels: The configured levels, in any order.
-        now: The present time in seconds, from any monotonic clock.
+        now: The current time in seconds, from any monotonic clock.
 
     Attributes:
-        state: The present state.
+        state: The current state.
         active_name: The name of the active level, or None.
-        stay_factors: By level, the present multiple of its minimum stay.
+        stay_factors: By level, the current multiple of its minimum stay.
     """
 
     def __init__(self, levels: Iterable[DegradationLevel], now: float) -> None:
@@ -163,7 +163,7 @@
         self._entered_at = now
         self._change_times: list[float] = []
         self._pinned_until = 0.0
-        self._probation_since = now  # means nothing in another state
+        self._probation_since = now  # valid only in the state PROBATION
         self._effects = {
             Effect.ENTER: self._enter,
             Effect.BEGIN_PROBATION: self._begin_probation,
@@ -175,26 +175,26 @@
         self.configure(levels)
 
     def configure(self, levels: Iterable[DegradationLevel]) -> None:
-        """Replace the configuration as a whole; a level of the same name stays active, also on probation.
+        """Replace the configuration; an active level that is still configured keeps its state.
 
-        The timing of the conditions and what was learnt about flapping begin anew.
+        The timing of the conditions and the record of flapping are reset.
         """
         self._levels = sorted(levels, key=lambda level: level.rank)
         self._enter_trackers = {level.name: ConditionTracker(level.enter, False) for level in self._levels}
         self._leave_trackers = {level.name: ConditionTracker(level.leave, True) for level in self._levels}
         self.stay_factors = {level.name: 1.0 for level in self._levels}
         self._left_at: dict[str, float] = {}
-        # By level, when it was entered first in the present series of returns in short succession.
+        # By level, when it was first entered in the current period of flapping.
         self._flapping_since: dict[str, float] = {}
 
     def active_level(self) -> DegradationLevel | None:
-        """Return the active level, or None where there is none or it is not configured any more."""
+        """Return the active level, or None where there is none or it is no longer configured."""
         return self._find(self.active_name)
 
     def step(
         self, now: float, readings: Readings, baselines: Baselines, warming_up: bool = False
     ) -> list[LevelChange]:
-        """Take in the readings of a sweep and return the changes in order; mostly there is none."""
+        """Update with new readings and return the changes of level in order; usually there are none."""
         enter_met = {
             name: tracker.update(now, readings, baselines) for name, tracker in self._enter_trackers.items()
         }
@@ -219,10 +219,10 @@
             return self._step_probation(now, level, relapsed, leave_met)
         return self._step_active(now, level, recovered)
 
-    def spared_ratio(self, now: float) -> float:
+    def exempt_ratio(self, now: float) -> float:
         """Return the ratio of the requests that are exempt from the active level.
 
-        It is 0 but on probation, where it grows in steps from a fifth to four fifths.
+        It is 0 except on probation, where it grows in steps from a fifth to four fifths.
         """
         if self.state is not State.PROBATION:
             return 0.0
@@ -230,7 +230,7 @@
         return min(PROBATION_STEPS, steps) / (PROBATION_STEPS + 1)
 
     def pin(self, now: float, name: str, seconds: float) -> list[LevelChange] | None:
-        """Activate a level for some seconds whatever the load; return None where there is no such level."""
+        """Activate a level for some seconds at any load; return the changes, or None for an unknown level."""
         level = self._find(name)
         if level is None:
             return None
@@ -238,7 +238,7 @@
         return self._apply(Input.PIN, now, level, f"by hand for {seconds:g} s")
 
     def unpin(self, now: float) -> list[LevelChange] | None:
-        """End a pinned level at once; return None where none is pinned."""
+        """End a pinned level; return the changes, or None where none is pinned."""
         if self.state is not State.PINNED:
             return None
         return self._apply(Input.UNPIN, now, None, "freed by hand")
@@ -305,12 +305,12 @@
     def _enter(self, now: float, target: DegradationLevel | None) -> None:
         assert target is not None
         name = target.name
-        quiet = now - self._left_at.get(name, -math.inf)
-        if quiet < FLAP_WINDOW:
+        time_since_left = now - self._left_at.get(name, -math.inf)
+        if time_since_left < FLAP_WINDOW:
             self._lengthen_stay(now, target)
         else:
             self._flapping_since[name] = now
-            halvings = min(MAX_HALVINGS, quiet / FLAP_WINDOW)
+            halvings = min(MAX_HALVINGS, time_since_left / FLAP_WINDOW)
             self.stay_factors[name] = max(1.0, self.stay_factors[name] * 0.5**halvings)
         self._activate(now, target)
 
--- a/valeturn/degradation/options.py
+++ b/valeturn/degradation/options.py
@@ -1,4 +1,4 @@
-"""The sections `[level NAME]` of the operator's file, and their check against a deployment."""
+"""The sections `[level NAME]` of the operator's file, and the checks against a deployment."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from .controller import DegradationLevel
 from .reachability import why_unreachable
 
-# Signals that a server measures by a gauge -> the name of the gauge in a deployment.
+# Signals that a server reads from a gauge -> the name of the gauge in a deployment.
 GAUGES = {"cores.busy": "busy", "memory": "memory"}
 CALL_SIGNAL_PREFIX = "calls."
 
 
 class DeploymentNames(Protocol):
-    """What a level needs to know of a deployment."""
+    """The names and settings of a deployment that levels depend on."""
 
     @property
     def settings(self) -> Settings:
@@ -27,7 +27,7 @@
 
     @property
     def workloads(self) -> Mapping[str, int]:
-        """The indices of the request classes in the settings, by name."""
+        """The indices of the workloads in the settings, by name."""
 
     @property
     def gauge_names(self) -> Sequence[str | None]:
@@ -35,7 +35,7 @@
 
 
 class Configuration(Protocol):
-    """The JSON configuration of a deployment, as far as levels depend on it."""
+    """The part of a deployment's JSON configuration that levels depend on."""
 
     @property
     def names(self) -> DeploymentNames:
@@ -43,13 +43,13 @@
 
 
 class NameListType(NamedTuple):
-    """The value type of a list of request classes: `quote, look-up`."""
+    """The value type of a list of workloads: `quote, look-up`."""
 
     def read(self, text: str) -> tuple[str, ...]:
         """Parse a list of names.
 
         Raises:
-            InvalidValueError: A name is empty or stands twice.
+            InvalidValueError: A name is empty or listed twice.
         """
         names = [name.strip() for name in text.split(",")]
         if not all(names) or len(set(names)) != len(names):
@@ -64,59 +64,59 @@
 
     Attributes:
         rank: The severity of the level, from 1 to 9.
-        enter: The condition that enters the level.
-        leave: The condition that lets it be left.
-        minimum_stay: Seconds for which it is active at least.
-        bypass_classes: The request classes that bypass their call on the shared dependency.
+        enter: The condition under which the level is entered.
+        leave: The condition under which it is left.
+        minimum_stay: Minimum seconds for which it is active.
+        bypass_workloads: The workloads that bypass their call on the shared dependency.
         call_wait_ratio: The ratio of the usual time that a request may wait for its call.
         enforce_quota: Whether requests of a tenant beyond its quota are rejected.
         minimum_priority: The priority, from 0 to 1, below which requests are rejected.
-        rejected_classes: The request classes that are rejected.
-        places: Where each key is written in the file, for faults; the section's place for one that is not.
+        rejected_workloads: The workloads that are rejected.
+        places: Each key's position in the file, for faults; the section's position for a missing key.
     """
 
     rank: int
     enter: Condition
     leave: Condition
     minimum_stay: float
-    bypass_classes: tuple[str, ...]
+    bypass_workloads: tuple[str, ...]
     call_wait_ratio: float
     enforce_quota: bool
     minimum_priority: float
-    rejected_classes: tuple[str, ...]
+    rejected_workloads: tuple[str, ...]
     places: Mapping[str, LocatedValue]
 
     def restricts_nothing(self) -> bool:
-        """Return whether the level is without any effect."""
-        restricts_classes = bool(self.bypass_classes or self.rejected_classes)
+        """Return whether the level has no effect."""
+        restricts_workloads = bool(self.bypass_workloads or self.rejected_workloads)
         restricts_requests = self.enforce_quota or self.minimum_priority != 0.0 or self.call_wait_ratio != 1.0
-        return not restricts_classes and not restricts_requests
+        return not restricts_workloads and not restricts_requests
 
-    def restrictions(self, class_indices: Mapping[str, Any]) -> ServiceReduction:
-        """Return what the admission controller restricts, with request classes by index."""
+    def restrictions(self, workload_indices: Mapping[str, Any]) -> ServiceReduction:
+        """Return the restrictions for the admission controller, with workloads by index."""
         return ServiceReduction(
-            frozenset(class_indices[name] for name in self.bypass_classes),
+            frozenset(workload_indices[name] for name in self.bypass_workloads),
             self.call_wait_ratio,
             self.enforce_quota,
             self.minimum_priority,
-            frozenset(class_indices[name] for name in self.rejected_classes),
+            frozenset(workload_indices[name] for name in self.rejected_workloads),
         )
 
 
 def _build_options(
     values: Mapping[str, Any], places: Mapping[str, LocatedValue]
 ) -> tuple[LevelOptions, list[Fault]]:
-    """Return the options of a section, and its faults that concern several keys."""
+    """Return the options of a section, and the faults of combinations of keys."""
     options = LevelOptions(
         rank=values["rank"],
         enter=values["enter"],
         leave=values["leave"],
         minimum_stay=values["stay"],
-        bypass_classes=values["without_call"],
+        bypass_workloads=values["without_call"],
         call_wait_ratio=values["call_wait"],
         enforce_quota=values["within_share"],
         minimum_priority=values["least_rank"],
-        rejected_classes=values["turn_back"],
+        rejected_workloads=values["turn_back"],
         places=places,
     )
     faults: list[Fault] = []
@@ -129,7 +129,7 @@
 
 
 def _hysteresis_faults(enter: Comparison, leave: Comparison, place: LocatedValue) -> Iterator[Fault]:
-    """Yield a fault where a level would be left on the same signal that enters it."""
+    """Yield a fault where a level's enter and leave conditions on the same signal overlap."""
     if enter.signal != leave.signal or enter.relative != leave.relative:
         return
     if enter.above == leave.above:
@@ -161,14 +161,14 @@
 
 
 def check_deployment(levels: Mapping[str, LevelOptions], configuration: Configuration) -> list[Fault]:
-    """Return the faults of the levels beside each other and in a deployment, in the order of their lines."""
+    """Return the faults of the levels together and in a deployment, in the order of their lines."""
     names = configuration.names
     faults: list[Fault] = []
     name_by_rank: dict[int, str] = {}
     for name, level in sorted(levels.items(), key=lambda item: item[1].places["rank"].line):
         faults.extend(_rank_faults(level, name_by_rank))
         name_by_rank.setdefault(level.rank, name)
-        faults.extend(_request_class_faults(level, names))
+        faults.extend(_workload_faults(level, names))
         faults.extend(_tenant_faults(level, names.settings))
         faults.extend(_reachability_faults(level, names.settings))
         faults.extend(_signal_faults(level, names))
@@ -183,20 +183,20 @@
         )
 
 
-def _request_class_faults(level: LevelOptions, names: DeploymentNames) -> Iterator[Fault]:
-    """Yield the faults of request classes that are unknown or can't be treated as the level says."""
+def _workload_faults(level: LevelOptions, names: DeploymentNames) -> Iterator[Fault]:
+    """Yield the faults of workloads that are unknown or can't be restricted in this way."""
     known = names.workloads
-    listed = {"without_call": level.bypass_classes, "turn_back": level.rejected_classes}
-    for key, request_classes in listed.items():
-        for name in request_classes:
+    listed = {"without_call": level.bypass_workloads, "turn_back": level.rejected_workloads}
+    for key, workload_names in listed.items():
+        for name in workload_names:
             if name not in known:
                 yield level.places[key].fault(
                     "unknown-workload", f"{name}; known: {', '.join(sorted(known))}"
                 )
-    for name in level.bypass_classes:
+    for name in level.bypass_workloads:
         if name in known and not names.settings.workloads[known[name]].degraded_value_share > 0:
             yield level.places["without_call"].fault("not-without", f"{name} earns nothing without its call")
-    if set(level.rejected_classes) >= set(known):
+    if set(level.rejected_workloads) >= set(known):
         yield level.places["turn_back"].fault("all-turned-back", "no workload is let in at this level")
 
 
@@ -213,7 +213,7 @@
 
 def _signal_faults(level: LevelOptions, names: DeploymentNames) -> Iterator[Fault]:
     """Yield the faults of signals that the deployment does not measure."""
-    has_calls = any(request_class.makes_call for request_class in names.settings.workloads)
+    has_calls = any(workload.makes_call for workload in names.settings.workloads)
     for key, condition in (("enter", level.enter), ("leave", level.leave)):
         for comparison in condition.comparisons():
             signal = comparison.signal
@@ -224,25 +224,25 @@
 
 
 def _difference_faults(
-    levels: Mapping[str, LevelOptions], class_indices: Mapping[str, int]
+    levels: Mapping[str, LevelOptions], workload_indices: Mapping[str, int]
 ) -> Iterator[Fault]:
-    """Yield a fault for each level that does what the next lower one does, on the same condition."""
+    """Yield a fault for each level with the condition and the restrictions of the next lower one."""
     for name, level in levels.items():
         for other in levels.values():
             if other.rank - level.rank != 1 or other.enter != level.enter:
                 continue
-            if _comparable_restrictions(other, class_indices) == _comparable_restrictions(
-                level, class_indices
+            if _comparable_restrictions(other, workload_indices) == _comparable_restrictions(
+                level, workload_indices
             ):
                 yield other.places["rank"].fault(
                     "no-difference", f"gives up what [level {name}] does, on the same condition"
                 )
 
 
-def _comparable_restrictions(level: LevelOptions, class_indices: Mapping[str, int]) -> ServiceReduction:
-    """Return the restrictions of a level with unknown request classes, a fault of their own, by name."""
-    by_name = {name: name for name in (*level.bypass_classes, *level.rejected_classes)}
-    return level.restrictions({**by_name, **class_indices})
+def _comparable_restrictions(level: LevelOptions, workload_indices: Mapping[str, int]) -> ServiceReduction:
+    """Return a level's restrictions for comparison; unknown workloads, reported elsewhere, stay as names."""
+    by_name = {name: name for name in (*level.bypass_workloads, *level.rejected_workloads)}
+    return level.restrictions({**by_name, **workload_indices})
 
 
 def build_levels(levels: Mapping[str, LevelOptions], names: DeploymentNames) -> list[DegradationLevel]:
--- a/valeturn/degradation/reachability.py
+++ b/valeturn/degradation/reachability.py
@@ -1,6 +1,6 @@
-"""Static check whether a condition can hold in a deployment at any load.
+"""Checks statically whether a condition can hold in a deployment at any load.
 
-The command `check` reports conditions that never hold, so that an operator does not find out during overload.
+The command `check` reports conditions that never hold, so that this is not found out during an overload.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 if TYPE_CHECKING:
     from ..admission.interface import Settings
 
-# The largest ratio of the memory in use: past it the admission controller starts nothing and stores no
-# results. A test compares it with the admission controller's own limit.
+# The largest ratio of the memory in use: above it the admission controller starts no requests and stores no
+# results. A test checks that it equals the admission controller's own limit.
 MEMORY_MAXIMUM = 0.85
 
 
@@ -22,16 +22,16 @@
     if signal == "memory":
         return MEMORY_MAXIMUM
     if signal == "unread.wait":
-        # Nobody waits any more for a request that stays unread past its deadline.
-        return max((request_class.timeout for request_class in settings.workloads), default=None)
+        # No client waits for a request that is still unread at its deadline.
+        return max((workload.timeout for workload in settings.workloads), default=None)
     if signal == "calls.latency":
         return _call_latency_maximum(settings)
     return None
 
 
 def _call_latency_maximum(settings: Settings) -> float | None:
-    """Return the seconds after which a call is given up: at the deadline, or with the whole quota spent."""
-    deadlines = [request_class.timeout for request_class in settings.workloads if request_class.makes_call]
+    """Return the seconds after which a call is cancelled: at the deadline, or with the quota used up."""
+    deadlines = [workload.timeout for workload in settings.workloads if workload.makes_call]
     if not deadlines:
         return None
     longest = max(deadlines)
@@ -63,7 +63,7 @@
 
 
 def _exceeds(comparison: Comparison, maximum: float) -> bool:
-    """Return whether a comparison asks for more than the signal's maximum."""
+    """Return whether a comparison needs a value above the signal's maximum."""
     return comparison.above and not comparison.relative and comparison.value >= maximum
 
 
--- a/valeturn/degradation/signals.py
+++ b/valeturn/degradation/signals.py
@@ -1,4 +1,4 @@
-"""Measures the signals that conditions read, as exponentially decaying sums, and learns their baselines."""
+"""Measures the signals of conditions as exponentially decaying sums, and learns their baselines."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 from .conditions import Readings
 
-# Seconds in which a sum decays to 1/e: at a hundred requests a second the noise is a tenth, and a change
-# shows within a second.
+# Seconds in which a sum decays to 1/e: at a hundred requests per second the noise is a tenth, and a change is
+# visible within a second.
 DECAY_TIME = 1.0
-# Calls or requests in a sum below which its signal is unknown: a single failed call is no sign of overload.
+# With fewer calls or requests in a sum its signal is unknown: a single failed call is no sign of overload.
 MIN_SAMPLES = 3.0
-# Seconds over which a baseline is learnt, as the admission controller learns its own.
+# Time constant of the baselines in seconds, the same as in the admission controller.
 BASELINE_TIME = 60.0
-# Seconds after which gauges count as missing: ten of them are due in that time.
+# Seconds after which gauges count as missing: ten reports are due in that time.
 MAX_GAUGE_AGE = 1.0
 # Indices of the sums; plain integers, as two of them are updated for each request.
 CALLS, CALL_DURATION, FAILED_CALLS, REQUESTS, REQUEST_WAIT, REJECTIONS = range(6)
 SUM_COUNT = 6
 
-# The signals that have a baseline: those that are durations.
+# The signals that have a baseline: the durations.
 BASELINE_SIGNALS = ("calls.latency", "unread.wait")
 
 
@@ -50,9 +50,9 @@
         """Record a call on the shared dependency that has ended.
 
         Args:
-            now: The present time in seconds.
+            now: The current time in seconds.
             duration: Seconds that the call took.
-            failed: Whether the call failed by itself; a cancelled call is no failure.
+            failed: Whether the call failed; a cancelled call is not a failure.
         """
         self._decay(now)
         self.sums[CALLS] += 1
@@ -89,7 +89,7 @@
             "cores.busy": self._busy if gauges_fresh else None,
             "unread.wait": sums[REQUEST_WAIT] / sums[REQUESTS] if enough_requests else None,
             "memory": self._memory if gauges_fresh else None,
-            # More requests than arrived lately may be rejected at once, from the queue.
+            # Rejections of queued requests may exceed the recent arrivals.
             "turned_back": min(1.0, sums[REJECTIONS] / sums[REQUESTS]) if enough_requests else None,
         }
 
@@ -111,5 +111,5 @@
                 self.baselines[signal] = baseline + weight * (reading - baseline)
 
     def skip_learning(self, now: float) -> None:
-        """Let the time pass without learning, so that it does not count when learning resumes."""
+        """Advance the time without learning, so that it does not count when learning resumes."""
         self._learnt_at = now
--- a/valeturn/dispatch/deduplication.py
+++ b/valeturn/dispatch/deduplication.py
@@ -189,7 +189,7 @@
 
     def unsettled(self, call):
         number = self.number_of(call)
-        return None if number is None else self.kept.unfinished_class(number)
+        return None if number is None else self.kept.unfinished_workload(number)
 
     @staticmethod
     def number_of(call):
--- a/valeturn/dispatch/degradation_monitor.py
+++ b/valeturn/dispatch/degradation_monitor.py
@@ -41,7 +41,7 @@
         else:
             self.signals.skip_learning(now)
         told = self.told(now, self.decision.step(now, read, self.signals.baselines, cold), read)
-        spared = self.decision.spared_ratio(now)
+        spared = self.decision.exempt_ratio(now)
         if spared != self.spared:
             self.count("levels.trials") if not self.spared else None
             self.spared = spared
--- a/valeturn/maintenance/commands.py
+++ b/valeturn/maintenance/commands.py
@@ -17,23 +17,23 @@
 EXIT_OVERDUE = 4
 
 REQUEST_TIMEOUT = 10.0
-"""Seconds for the server's answer: twice what a request may take to be committed."""
+"""Seconds for the server's answer: twice the time within which a request has to be committed."""
 POLL_INTERVAL = 0.3
-"""Seconds between two questions for the status."""
+"""Seconds between two status requests."""
 LISTING_ACTIONS = ("out", "back")
 """Actions whose answer lists the servers concerned."""
 DRAINED_STATES = tuple(
     STATE_TEXTS[state]
     for state in (RecordState.IN_MAINTENANCE, RecordState.RETURNING, RecordState.WARMING_UP)
 )
-"""States in a server's status that it has only after it was drained."""
+"""States in a server's status that follow the end of its drain."""
 
 
 def parse_duration(arguments: dict[str, Any], option: str) -> float | None:
     """Return an option's duration in seconds, or None where it is not given.
 
     Raises:
-        InvalidValueError: The text is no duration, or it is out of range.
+        InvalidValueError: The text is not a duration, or it is out of range.
     """
     if arguments[option] is None:
         return None
@@ -42,7 +42,7 @@
 
 
 def run(arguments: dict[str, Any]) -> int:
-    """Carry out the command that docopt has parsed and return its exit code."""
+    """Run the command that docopt parsed and return its exit code."""
     socket = arguments["SOCKET"]
     path = socket[0] if isinstance(socket, list) else socket
     if arguments["turns"]:
@@ -82,19 +82,19 @@
 
 
 def maintenance_status(path: str) -> dict[str, Any] | None:
-    """Return the status of maintenance, or None where the server can't be asked or has none."""
+    """Return the status of maintenance, or None where the server can't be reached or has none."""
     answer = client.send_request(path, {"do": "status"})
     status: dict[str, Any] | None = answer["status"].get("turns") if answer["good"] else None
     return status
 
 
 def wait_until_drained(path: str, servers: set[str], wait_time: float) -> int:
-    """Wait until each server has been drained, or is back already, and return the exit code.
+    """Wait until each server was drained, or has returned already, and return the exit code.
 
     Args:
-        path: The control socket to ask.
-        servers: Names.
-        wait_time: Seconds.
+        path: The path of the control socket.
+        servers: The servers' names.
+        wait_time: Seconds to wait at most.
     """
     deadline = time.monotonic() + wait_time
     drained: set[str] = set()
@@ -125,7 +125,7 @@
 
 
 def status_lines(status: dict[str, Any]) -> list[str]:
-    """Return the status in lines: who leads, which servers are unavailable, and why others wait."""
+    """Return the lines of the status: the leader, the unavailable servers, and why others wait."""
     paused = ", turns are HELD: nobody else goes out" if status["held"] else ""
     lines = [f"owner {status['owner'] or 'NONE'}{paused}"]
     lines += [record_line(record) for record in status["rows"]]
--- a/valeturn/maintenance/committed_records.py
+++ b/valeturn/maintenance/committed_records.py
@@ -1,4 +1,4 @@
-"""Read the maintenance records out of the replicated log."""
+"""Read the maintenance records from the replicated log."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CommittedRecords:
-    """The records as far as this server knows them, decoded once for each state of the log."""
+    """The maintenance records that this server knows, decoded once for each state of the log."""
 
     def __init__(self, node: ClusterNode) -> None:
         """Read from the log of this server's cluster node."""
@@ -18,17 +18,17 @@
         self._decoded: list[MaintenanceRecord] = []
 
     def read(self) -> list[MaintenanceRecord]:
-        """Return all records, by server.
+        """Return all records, one per server.
 
         Raises:
             InvalidRecordError: A record has a state that does not exist.
             TypeError: A field has the wrong type.
-            ValueError: A record has the wrong form.
+            ValueError: A record has the wrong number of fields, or a field can't be converted.
         """
         encoded = self.node.known_state().state.maintenance_records
         if encoded is not self._decoded_from:
             self._decoded = [decode_record(fields) for fields in encoded]
-            self._decoded_from = encoded  # last, so that a malformed record is reported at each reading
+            self._decoded_from = encoded  # set last, so that each call reports a malformed record
         return self._decoded
 
     def find(self, server: str) -> MaintenanceRecord | None:
--- a/valeturn/maintenance/coordinator.py
+++ b/valeturn/maintenance/coordinator.py
@@ -28,25 +28,25 @@
 """Leases between two reports of a server."""
 RESPONSE_VALIDITY_LEASES = 1.5
 """Leases within which a server may act on the leader's answer, counted from the report that it answers."""
-REQUEST_PATIENCE = 5.0
-"""Seconds that an operator's request may take to be committed before it is given up."""
+REQUEST_TIMEOUT_S = 5.0
+"""Time within which an operator's request has to be committed."""
 REQUEST_RETRY_INTERVAL = 0.5
 """Seconds after which an uncommitted request is sent to the leader again: a message may be lost."""
 REQUEST_POLL_INTERVAL = 0.05
-"""Seconds between looks for a committed request."""
+"""Seconds between checks whether a request is committed."""
 DRAIN_POLL_INTERVAL = 0.02
-"""Seconds between looks for the leader's instruction in a drained server."""
+"""Seconds between checks for the leader's instruction in a drained server."""
 
 REPORTED_STATES = {
     LocalDrainState.DRAINING: RecordState.DRAINING,
     LocalDrainState.DRAINED: RecordState.DRAINED,
     LocalDrainState.IN_MAINTENANCE: RecordState.DRAINED,
 }
-"""States as a report has them; in all others the server reports that it serves."""
+"""The states in a report; in all others the server reports that it serves."""
 
 
 class ServerMeasurement(NamedTuple):
-    """What a server measures of itself for its report."""
+    """The values that a server measures for its report."""
 
     cores: float
     utilization: float  # share of the cores that is in use
@@ -58,8 +58,8 @@
 class MaintenanceCoordinator:
     """A server's part in the cluster's maintenance.
 
-    The cluster's node calls `tick` and, for received messages, the handlers of `KINDS`. Their fields are as
-    the other server sent them: the annotations say what is expected, the conversions check it.
+    The cluster's node calls `tick` and, for received messages, the handlers of `KINDS`. Their arguments come
+    unchecked from the other server: the annotations say what is expected, the conversions check it.
     """
 
     def __init__(
@@ -75,7 +75,7 @@
         Args:
             node: This server's cluster node.
             options: The section [turns] of the operator's file.
-            measure: Returns what the server's report has to say.
+            measure: Returns the measurements for the server's report.
             start_drain: Starts a graceful shutdown, as the platform's termination signal does.
             log: Takes the name of an event and its fields.
         """
@@ -85,33 +85,33 @@
         self.start_drain = start_drain
         self.log = log
         response_validity = RESPONSE_VALIDITY_LEASES * node.options.lease
-        self.local_drain = LocalDrain(node.clock(), response_validity, options.leader_patience)
+        self.local_drain = LocalDrain(node.clock(), response_validity, options.leader_timeout)
         self.records = CommittedRecords(node)
         self.leader = MaintenanceLeader(node, self.records, response_validity, log)
         self.hooks = HookRunner(node, log)
         self.next_report_at = 0.0
-        self.restart_requested = False  # once the process has ended, it is to be started anew in place
+        self.restart_requested = False  # whether the process is to be started again after it has ended
         self._return_acknowledged = False
-        node.others.append(self)
+        node.subsystems.append(self)
 
     def apply_options(self, options: MaintenanceOptions) -> None:
-        """Take changed options; a leader starts its schedule anew with the new limits."""
+        """Replace the options; a leader starts a new schedule with the new limits."""
         self.options = options
         self.leader.resign()
 
     def close(self) -> None:
-        """End the hooks that still run."""
+        """End running hooks."""
         self.hooks.close()
 
     # ---- time
 
     def tick(self, now: float, term: int | None) -> None:
-        """Report, watch over the drain and, with a term of its own as leader, plan."""
+        """Send a due report, time out the drain and, with a term as leader, plan the schedule."""
         if now >= self.next_report_at:
             self.next_report_at = now + REPORT_INTERVAL_LEASES * self.node.options.lease
             self._report(now)
         if self.local_drain.tick(now) is not None:
-            self.log("drain_abandoned", {"waited_s": self.options.leader_patience})
+            self.log("drain_abandoned", {"waited_s": self.options.leader_timeout})
         if term is None:
             self.leader.resign()
         else:
@@ -141,7 +141,7 @@
     # ---- messages
 
     def on_report(self, now: float, sender: str, *fields: object) -> None:
-        """Take a server's report and answer it, while this server leads.
+        """Handle a server's report and answer it, while this server leads.
 
         Raises:
             TypeError: The message has the wrong number of fields, or one has the wrong type.
@@ -160,7 +160,7 @@
     def on_response(
         self, now: float, sender: str, report_time: float, instruction: str, fencing_token: int
     ) -> None:
-        """Take the leader's answer to a report and carry out its instruction.
+        """Handle the leader's answer to a report and carry out its instruction.
 
         Raises:
             TypeError: A field has the wrong type.
@@ -182,15 +182,15 @@
     def on_request(
         self, now: float, sender: str, servers: list[str], reason: str, urgent: bool, work_duration: float
     ) -> None:
-        """Take a request for maintenance, while this server leads."""
+        """Handle a request for maintenance, while this server leads."""
         self.leader.enqueue(servers, reason, urgent, work_duration)
 
     def on_cancel(self, now: float, sender: str, servers: list[str]) -> None:
-        """Take the cancellation of requests, while this server leads."""
+        """Handle the cancellation of requests, while this server leads."""
         self.leader.cancel(servers)
 
     def on_pause(self, now: float, sender: str, paused: bool) -> None:
-        """Take an operator's pause of grants, or its end, while this server leads."""
+        """Handle an operator's pause of grants, or its end, while this server leads."""
         self.leader.set_paused(paused)
 
     KINDS: ClassVar[dict[str, Callable[..., None]]] = {  # the node reads it by this name
@@ -204,7 +204,7 @@
     # ---- drain of this server
 
     def receive_termination_signal(self) -> None:
-        """Take the platform's termination signal, which goes before any maintenance."""
+        """Handle the platform's termination signal, which takes precedence over maintenance."""
         self.local_drain.receive_termination_signal(self.node.clock())
 
     def wait_for_maintenance(self) -> None:
@@ -229,7 +229,7 @@
         self.log("drain_ended", {"state": STATE_TEXTS[self.local_drain.state]})
 
     def _is_in(self, state: LocalDrainState) -> bool:
-        """Return whether the drain is in a state at present; other tasks change it during a sleep."""
+        """Return whether the drain is in this state now; other tasks change it during a sleep."""
         return self.local_drain.state is state
 
     # ---- operators' requests
@@ -237,9 +237,10 @@
     def request_maintenance(
         self, servers: Collection[str], reason: str, urgent: bool, work_duration: float
     ) -> str | None:
-        """Request maintenance of some servers, at whichever server the operator asks.
+        """Request maintenance of some servers; any server of the cluster can take the request.
 
-        Waits in the caller's task until the request is committed. Returns None then, else why it is not.
+        Waits in the caller's task until the request is committed. Returns None then, otherwise the reason
+        why it was not.
         """
 
         def is_committed() -> bool:
@@ -269,9 +270,9 @@
         return self._send_until(PAUSE_KIND, [bool(paused)], is_committed)
 
     def _send_until(self, kind: str, fields: list[Any], is_committed: Callable[[], bool]) -> str | None:
-        """Send a message to the leader, again and again, until its effect is committed."""
+        """Send a message to the leader repeatedly until its effect is committed, or return an error."""
         clock = self.node.clock
-        deadline = clock() + REQUEST_PATIENCE
+        deadline = clock() + REQUEST_TIMEOUT_S
         last_attempt_at = -math.inf
         while clock() < deadline:
             now = clock()
@@ -290,7 +291,7 @@
     # ---- status
 
     def status(self) -> dict[str, Any]:
-        """Return what `valeturn status` shows of maintenance."""
+        """Return the part of `valeturn status` that shows maintenance."""
         known = self.node.known_state()
         return maintenance_status(
             self.node.clock(),
--- a/valeturn/maintenance/drain_schedule.py
+++ b/valeturn/maintenance/drain_schedule.py
@@ -1,8 +1,8 @@
 """Decide at the cluster's leader which server goes into maintenance next; no I/O.
 
-The records stand in the replicated log, so that they survive a change of the leader. What servers report
-does not: a new leader decides nothing before enough of them have reported. A record moves by one committed
-entry at a time, along the table of `record_transitions`.
+The records are in the replicated log, so that they survive a change of the leader. The servers' reports are
+not: a new leader makes no decision before enough servers have reported. Each committed entry makes one
+transition of a record, according to the table in `record_transitions`.
 """
 
 from __future__ import annotations
@@ -19,63 +19,63 @@
 Views = Mapping[str, ServerView]
 
 BYPASS_LIMIT = 8
-"""Grants to others before a waiting request; then it goes before all others, urgent or not."""
+"""Grants that may bypass a waiting request; after that it precedes all others, also urgent ones."""
 REPORT_LIFETIME_LEASES = 4.0
-"""Leases after which a report is stale: with two reports a lease, some may be lost before that."""
+"""Leases after which a report is stale: at two reports per lease, several may be lost before that."""
 SPARE_SHARE_TO_KEEP = 0.5
-"""Share of the spare capacity that has to be free still when a drained server's maintenance may begin."""
+"""Share of the spare capacity that must still be free for a drained server's maintenance to begin."""
 NAMES_IN_REASON = 3
-"""Servers that a reason for waiting names at the most."""
+"""Maximum servers named in a reason for waiting."""
 
 
 INSTRUCTIONS_WHEN_DRAINED = {
     RecordState.IN_MAINTENANCE: Instruction.START_MAINTENANCE,
     RecordState.RETURNING: Instruction.RESTART,
 }
-"""What a server is instructed to do that reports itself drained, by the state of its record."""
+"""The instruction to a server that reports itself drained, by the state of its record."""
 
 
 class MaintenanceLimits(NamedTuple):
-    """What the operator allows, as the section [turns] of the operator's file says."""
+    """The operator's limits, from the section [turns] of the operator's file."""
 
     max_unavailable: int  # servers that may be unavailable at once
-    max_unavailable_share: float  # of all known servers, likewise; one server always may
+    max_unavailable_share: float  # the same as a share of all known servers; one server is always allowed
     single_zone: bool  # only servers of one zone at a time
-    spare_capacity_share: float  # of the cores in service that has to stay free
-    min_answer_count: int  # that a returned server has to have given, unless no request reaches it
-    idle_proof_time: float  # s after which a returned server counts as proved without any request
-    keep_missing: bool  # a server that does not return stays unavailable, and no other goes in its place
+    spare_capacity_share: float  # share of the cores in service that has to stay free
+    min_answer_count: int  # requests that a returned server has to answer before it counts as proved
+    idle_proof_time: float  # seconds after which a returned server counts as proved without answers
+    keep_missing: bool  # whether a server that does not return keeps counting as unavailable
 
 
 class ObservedState(NamedTuple):
-    """A record's state, and since when the leader knows it."""
+    """A record's state, and when this leader first observed it."""
 
     state: RecordState
-    since: float  # s
+    since: float  # seconds
 
 
 class DrainSchedule:
     """The leader's schedule of all maintenance requests.
 
-    A leader makes a new one when it is elected. Times are seconds of the leader's monotonic clock.
+    A leader creates a new one when it is elected. Times are seconds of the leader's monotonic clock.
     """
 
     def __init__(self, limits: MaintenanceLimits, lease: float, response_validity: float, now: float) -> None:
-        """Start without any knowledge of earlier reports.
+        """Start without earlier reports.
 
         Args:
-            limits: What the operator allows.
+            limits: The operator's limits.
             lease: The leader's lease, in seconds.
             response_validity: Seconds within which a server may act on an answer to its report.
-            now: The present time, from which this leader leads.
+            now: The current time, at which this leader was elected.
         """
         self.limits = limits
         self.lease = lease
         self.response_validity = response_validity
         self.leader_since = now
         self.observed_states: dict[str, ObservedState] = {}  # by server
-        self.wait_reasons: dict[str, str] = {}  # by server, in words for the operator
-        self.grant_sent_at: dict[str, float] = {}  # by server: when the grant was sent to it last
+        self.wait_reasons: dict[str, str] = {}  # by server, as text for the operator
+        self.grant_sent_at: dict[str, float] = {}  # by server: when the grant was last sent to it
 
     # ---- availability
 
@@ -87,7 +87,7 @@
         return now - view.reported_at <= REPORT_LIFETIME_LEASES * self.lease
 
     def unavailable_servers(self, records: Sequence[MaintenanceRecord], views: Views) -> set[str]:
-        """Return the names of servers that are unavailable by a request, or dead without one."""
+        """Return the names of servers that are unavailable by a request, or not alive."""
         by_request = {record.server for record in records if record.state != RecordState.WAITING}
         return by_request | {name for name, view in views.items() if not view.alive}
 
@@ -104,9 +104,9 @@
         """Return the log entries to propose.
 
         Args:
-            now: The present time.
-            records: All records, as committed.
-            views: All servers that should be there.
+            now: The current time.
+            records: All committed records.
+            views: All expected servers by name.
             paused: Whether an operator has paused grants.
         """
         entries: list[ScheduleEntry] = []
@@ -121,7 +121,7 @@
             received = self._input_for(now, record, view, records, views)
             if received is not None:
                 entries += self.step(record, received, None if view is None else view.incarnation)
-        if not entries:  # a server counts as unavailable only once that is committed: no grant before
+        if not entries:  # grant only without uncommitted entries, as they may make a server unavailable
             entries += self._grant_next(now, records, views, reporting, paused)
         return entries
 
@@ -138,7 +138,7 @@
         records: Sequence[MaintenanceRecord],
         views: Views,
     ) -> ScheduleInput | None:
-        """Return the input that holds for a record at present, or None."""
+        """Return the input that applies to a record now, or None."""
         if record.state == RecordState.WAITING:
             return ScheduleInput.CANCELLED if record.cancelled else None
         if record.state in (RecordState.IN_MAINTENANCE, RecordState.RETURNING):
@@ -178,7 +178,7 @@
     def _input_when_lost(
         self, now: float, record: MaintenanceRecord, view: ServerView | None
     ) -> ScheduleInput | None:
-        """Return the input for a server whose life ended before its maintenance was allowed, or None."""
+        """Return the input for a server that ended before its maintenance was allowed, or None."""
         if view is not None and view.alive and self._is_fresh(now, view):
             return ScheduleInput.RESTARTED
         return self._input_if_overdue(now, record)
@@ -222,7 +222,7 @@
         return ScheduleInput.MAINTENANCE_ALLOWED
 
     def _grant_is_expired(self, record: MaintenanceRecord, view: ServerView) -> bool:
-        """Return whether the server reported after no leader's answer could be valid any more."""
+        """Return whether the server reported after the last answer that a leader sent it had expired."""
         granted_at = self.grant_sent_at.get(record.server, -math.inf)
         last_sent_at = max(granted_at, self.leader_since, self.observed_states[record.server].since)
         return view.reported_at > last_sent_at + self.response_validity
@@ -237,7 +237,7 @@
         reporting: Views,
         paused: bool,
     ) -> list[ScheduleEntry]:
-        """Return the entries of at most one grant, with the counts of those that it bypasses."""
+        """Return the entries of at most one grant, and those that count it as a bypass of other requests."""
         waiting = [
             record for record in records if record.state == RecordState.WAITING and not record.cancelled
         ]
@@ -275,7 +275,7 @@
         reporting: Views,
         paused: bool,
     ) -> str | None:
-        """Return why a request has to wait, for the operator; None where it may be granted."""
+        """Return the reason, for the operator, why a request has to wait; None where it may be granted."""
         if paused:
             return "turns are held by an operator"
         view = views.get(record.server)
@@ -333,13 +333,13 @@
     def step(
         self, record: MaintenanceRecord, received: ScheduleInput, incarnation: int | None = None
     ) -> list[ScheduleEntry]:
-        """Return the log entries of one input's transition; see `record_transitions.step`."""
+        """Return the log entries for one input; see `record_transitions.step`."""
         return step(record, received, incarnation, self.limits.keep_missing)
 
     # ---- answers to reports
 
     def response_to(self, now: float, record: MaintenanceRecord | None, view: ServerView) -> Response:
-        """Return the answer to a server's report, and remember when a grant was sent."""
+        """Return the answer to a server's report, and record when a grant was sent."""
         if record is None or record.state == RecordState.WAITING:
             return Response(Instruction.CONTINUE, 0)
         if record.state == RecordState.WARMING_UP and view.incarnation >= record.incarnation:
--- a/valeturn/maintenance/hooks.py
+++ b/valeturn/maintenance/hooks.py
@@ -1,4 +1,4 @@
-"""Run the operator's commands on a machine that is drained, or that is back."""
+"""Run the operator's commands on a machine that was drained or has returned."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 HOOK_NAME = "turn"
 """The name under which a hook runs; commands read it from VALETURN_DUTY."""
-TERMINATION_PATIENCE = 1.0
-"""Seconds between the guard's SIGTERM to a hook's processes and its SIGKILL, at the most."""
+TERMINATION_GRACE_S = 1.0
+"""Longest time between the guard's SIGTERM to a hook's processes and its SIGKILL."""
 
 
 class HookRunner:
-    """Runs one command at a time, under a guard process that ends it when its time is over."""
+    """Runs one command at a time, under a guard process that ends it at its time limit."""
 
     def __init__(self, node: ClusterNode, log: Callable[[str, dict[str, Any]], None]) -> None:
         """Use the node's scheduler, clock and environment for the commands.
@@ -31,11 +31,11 @@
         self.processes = TaskProcesses(node.scheduler, node.task_processes.environment, self._on_ended)
 
     def start(self, command: str, fencing_token: int, time_limit: float) -> None:
-        """Start a command; `ended` turns true when it and all that it started are gone.
+        """Start a command; `ended` becomes true when it and all processes it started have ended.
 
         Args:
-            command: For the shell.
-            fencing_token: Of the grant that it runs under.
+            command: The command for the shell.
+            fencing_token: The fencing token of the grant under which it runs.
             time_limit: Seconds after which it is ended.
         """
 
@@ -43,7 +43,7 @@
             return fencing_token
 
         self.ended = False
-        failure = self.processes.start(HOOK_NAME, command, fencing_token, TERMINATION_PATIENCE)
+        failure = self.processes.start(HOOK_NAME, command, fencing_token, TERMINATION_GRACE_S)
         if failure is not None:
             self._on_ended(HOOK_NAME, failure)
         now: float = self.node.seams.to_boot(self.node.clock())
@@ -54,5 +54,5 @@
         self.log("maintenance_hook_ended", outcome._asdict())
 
     def close(self) -> None:
-        """Let all processes end, as at the end of the server."""
+        """End all processes, for the shutdown of the server."""
         self.processes.close_all()
--- a/valeturn/maintenance/leader.py
+++ b/valeturn/maintenance/leader.py
@@ -27,11 +27,11 @@
 PLAN_INTERVAL_LEASES = 0.25
 """Leases between two plans: half the interval between two reports of a server."""
 MAX_RECORDS = 1024
-"""Maintenance requests at once: one for each server there may be."""
+"""Maximum maintenance requests at once: one for each server that a cluster may have."""
 REPORT_RETENTION = 3600.0
-"""Seconds for which a server that has reported counts as one that should be there."""
+"""Seconds after its last report for which a server is still expected to be there."""
 MAX_REASON_LENGTH = 64
-"""Characters that are stored of an operator's reason."""
+"""Maximum characters that are stored of an operator's reason."""
 MIN_WORK_DURATION = 1.0
 """Seconds; the shortest maintenance that may be requested."""
 MAX_WORK_DURATION = 86400.0
@@ -41,7 +41,7 @@
 class MaintenanceLeader:
     """Runs the drain schedule while this server leads the cluster.
 
-    Requests and reports that arrive while it does not lead are ignored; their senders repeat them.
+    While it does not lead, received requests and reports are ignored; their senders repeat them.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self.schedule = None
 
     def tick(self, now: float, options: MaintenanceOptions) -> None:
-        """Plan if it is time; to be called while this server leads."""
+        """Plan the schedule when a plan is due; to be called while this server leads."""
         lease = self.node.options.lease
         if self.schedule is None:
             self.schedule = DrainSchedule(options.limits(), lease, self.response_validity, now)
@@ -79,7 +79,7 @@
     def _plan(self, now: float, schedule: DrainSchedule) -> None:
         replica = self.node.raft
         if replica.commit_index < replica.last_position().last_index:
-            return  # plans are made on committed entries alone: another grant may be among the others
+            return  # plans use committed entries only: an uncommitted one may be another grant
         records = self.records.read()
         paused = replica.state.maintenance_held
         for entry in schedule.plan(now, records, self.views(now), paused):
@@ -93,7 +93,7 @@
             return
         record = entry.record
         if record.state == RecordState.WAITING and record.bypass_count:
-            return  # only its count of bypasses rose
+            return  # only its bypass count has increased
         self.log(
             "maintenance_changed",
             {
@@ -105,7 +105,7 @@
         )
 
     def views(self, now: float) -> dict[str, ServerView]:
-        """Return all servers that should be there: members, those that reported, those with a record."""
+        """Return all expected servers by name: members, those that reported lately, those with a record."""
         membership = self.node.membership
         members = {self.node.name: membership.local, **membership.members}
         self.reports = {
@@ -115,11 +115,11 @@
         for name in {*members, *self.reports, *(record.server for record in self.records.read())}:
             member = members.get(name)
             if member is None:
-                described = MemberView("-", 0, alive=False, suspected=False)
+                member_view = MemberView("-", 0, alive=False, suspected=False)
             else:
                 alive = member.state in (ALIVE, SUSPECTED)
-                described = MemberView(member.zone, member.generation, alive, member.state == SUSPECTED)
-            views[name] = merge_report(name, self.reports.get(name), described)
+                member_view = MemberView(member.zone, member.generation, alive, member.state == SUSPECTED)
+            views[name] = merge_report(name, self.reports.get(name), member_view)
         return views
 
     def receive_report(self, now: float, sender: str, report: Report) -> Response | None:
@@ -134,7 +134,7 @@
         view = view_from_report(sender, report, now)
         self.reports[sender] = view
         response = self.schedule.response_to(now, self.records.find(sender), view)
-        # Looked up once more: the lease may have run out since the last tick.
+        # Checked again here: the lease may have expired since the last tick.
         return response if self.node.leads(self.node.clock()) else None
 
     def enqueue(self, servers: Collection[str], reason: str, urgent: bool, work_duration: float) -> None:
--- a/valeturn/maintenance/local_drain.py
+++ b/valeturn/maintenance/local_drain.py
@@ -1,7 +1,7 @@
-"""Decide what one server does about its own maintenance: a table of state, input, next state and effect.
+"""Decide the steps of one server's own maintenance: a table of state, input, next state and effect.
 
-This module does no I/O. The leader's instructions come in as answers to reports; an instruction is carried
-out only under a valid fencing token and only for as long as the leader itself counts on it.
+This module does no I/O. The leader's instructions are answers to reports; an instruction is carried out only
+with a valid fencing token and only while the leader still considers it valid.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 
 
 class LocalDrainState(IntEnum):
-    """How far this server is in its maintenance."""
+    """The stages of this server's maintenance."""
 
     SERVING = 0
     DRAINING = 1  # under a grant of the leader
     DRAINED = 2  # waits for the leader's permission to start maintenance
-    IN_MAINTENANCE = 3  # its hook runs; the process ends after that
-    RESTARTING = 4  # starts anew without maintenance
+    IN_MAINTENANCE = 3  # its hook is running; the process ends after it
+    RESTARTING = 4  # the process starts again without maintenance
     SHUTTING_DOWN = 5  # after a termination signal, or without its maintenance
 
 
 class LocalDrainInput(Enum):
-    """What can happen to a server that may be drained."""
+    """The inputs of a server's drain."""
 
     DRAIN_GRANTED = "drain_granted"
     MAINTENANCE_ALLOWED = "maintenance_allowed"
     RESTART_INSTRUCTED = "restart_instructed"
     TERMINATION_SIGNALLED = "termination_signalled"  # by the platform
     DRAIN_COMPLETED = "drain_completed"  # no request is read, queued, running, unanswered or in doubt
-    LEADER_LOST = "leader_lost"  # no answer of a leader for too long
+    LEADER_LOST = "leader_lost"  # no answer of a leader within the timeout
 
 
 class LocalDrainEffect(Enum):
@@ -89,7 +89,7 @@
         LocalDrainState.SHUTTING_DOWN, LocalDrainEffect.EXIT
     ),
 }
-"""A pair that is missing changes nothing and has no effect."""
+"""Pairs that are not listed change nothing and have no effect."""
 
 INPUT_OF_INSTRUCTION: dict[str, LocalDrainInput] = {
     Instruction.DRAIN: LocalDrainInput.DRAIN_GRANTED,
@@ -97,8 +97,8 @@
     Instruction.RESTART: LocalDrainInput.RESTART_INSTRUCTED,
 }
 
-REMEMBERED_REPORTS = 8
-"""Reports whose answers are still accepted: at two a lease, more than can be within an answer's validity."""
+ANSWERABLE_REPORTS = 8
+"""Number of the latest reports whose answers are accepted: more than are sent within an answer's validity."""
 
 
 class LocalDrain:
@@ -107,37 +107,37 @@
     Times are seconds of one monotonic clock of this server.
     """
 
-    def __init__(self, now: float, response_validity: float, leader_patience: float) -> None:
+    def __init__(self, now: float, response_validity: float, leader_timeout: float) -> None:
         """Start in the state SERVING.
 
         Args:
-            now: The present time.
-            response_validity: Seconds that the leader's answer is valid, counted from the report it answers.
-            leader_patience: Seconds that a drained server waits for a leader's answer before it exits without
-                its maintenance.
+            now: The current time.
+            response_validity: Seconds for which an answer is valid, from the report that it answers.
+            leader_timeout: Seconds after which a drained server without a leader's answer exits without
+                maintenance.
         """
         self.state = LocalDrainState.SERVING
         self.fencing_token = 0
         self.response_validity = response_validity
-        self.leader_patience = leader_patience
+        self.leader_timeout = leader_timeout
         self.state_since = now
         self.leader_contact_at = now
-        self.report_times: deque[float] = deque(maxlen=REMEMBERED_REPORTS)
+        self.report_times: deque[float] = deque(maxlen=ANSWERABLE_REPORTS)
         self.rejected_count = 0
         self.highest_token = 0
 
     def record_report(self, now: float) -> float:
-        """Remember that a report is sent at `now` and return the timestamp that identifies it."""
+        """Record that a report is sent at `now` and return the timestamp that identifies it."""
         self.report_times.append(now)
         return now
 
     def receive_instruction(
         self, now: float, report_time: float, instruction: str, fencing_token: int
     ) -> LocalDrainEffect | None:
-        """Take the leader's instruction and return the effect to carry out, if any.
+        """Handle the leader's instruction and return the effect to carry out, if any.
 
-        A late instruction is rejected here, right before its effect: the leader may have granted maintenance
-        to another server in the meantime. Instructions of newer versions that are unknown here are ignored.
+        A late instruction is rejected here, immediately before its effect: the leader may have granted
+        maintenance to another server since. Unknown instructions, of newer versions, are ignored.
         """
         received = INPUT_OF_INSTRUCTION.get(instruction)
         if received is None:
@@ -159,23 +159,23 @@
         return self.state is LocalDrainState.SERVING or fencing_token == self.fencing_token
 
     def receive_termination_signal(self, now: float) -> LocalDrainEffect | None:
-        """Take the platform's termination signal, which goes before any maintenance."""
+        """Handle the platform's termination signal, which takes precedence over maintenance."""
         return self.step(now, LocalDrainInput.TERMINATION_SIGNALLED)
 
     def complete_drain(self, now: float) -> LocalDrainEffect | None:
-        """Take the end of the drain: nothing is left to answer on this server."""
+        """Handle the end of the drain: this server has no unanswered requests left."""
         return self.step(now, LocalDrainInput.DRAIN_COMPLETED)
 
     def tick(self, now: float) -> LocalDrainEffect | None:
-        """Give up waiting once a drained server has received nothing from a leader for too long."""
+        """Stop waiting once a drained server has heard from no leader within the timeout."""
         if self.state is not LocalDrainState.DRAINED:
             return None
-        if now - max(self.state_since, self.leader_contact_at) <= self.leader_patience:
+        if now - max(self.state_since, self.leader_contact_at) <= self.leader_timeout:
             return None
         return self.step(now, LocalDrainInput.LEADER_LOST)
 
     def record_leader_contact(self, now: float) -> None:
-        """Remember that any answer of a leader came, so that a drained server goes on waiting."""
+        """Record that a leader answered, so that a drained server continues to wait."""
         self.leader_contact_at = now
 
     def step(self, now: float, received: LocalDrainInput) -> LocalDrainEffect | None:
--- a/valeturn/maintenance/messages.py
+++ b/valeturn/maintenance/messages.py
@@ -1,4 +1,4 @@
-"""Messages about maintenance between servers, with the words that they have on the wire.
+"""Messages about maintenance between servers, with their names on the wire.
 
 The values in this module are bytes that other versions of the program read and write; they must not change.
 """
@@ -21,7 +21,7 @@
 
 
 class Instruction(StrEnum):
-    """What the leader instructs a server to do, as it stands on the wire."""
+    """The leader's instructions to a server; the values are their names on the wire."""
 
     CONTINUE = "stay"
     DRAIN = "out"
@@ -34,19 +34,19 @@
     """The leader's answer to one report."""
 
     instruction: Instruction
-    fencing_token: int  # of the grant that it is about; 0 where there is none
+    fencing_token: int  # of the grant that the instruction concerns; 0 where there is none
 
 
 class Report(NamedTuple):
     """A server's report to the leader. The order of the fields is the order on the wire."""
 
-    sent_at: float  # s of the sender's clock; the answer carries it back
+    sent_at: float  # seconds of the sender's clock; the answer repeats it
     incarnation: int
     zone: str
     cores: float
-    utilization: float  # share of the cores that is in use
-    warmup: float  # share of its full speed that the server has reached
+    utilization: float  # share of the cores in use
+    warmup: float  # share of full speed that the server has reached
     overloaded: bool
-    answer_count: int
+    answer_count: int  # requests that this incarnation has answered
     reported_state: int  # a `RecordState`: WAITING while it serves, DRAINING or DRAINED
-    fencing_token: int
+    fencing_token: int  # of the grant under which it drains; 0 without one
--- a/valeturn/maintenance/options.py
+++ b/valeturn/maintenance/options.py
@@ -10,23 +10,23 @@
 from .drain_schedule import MaintenanceLimits
 
 KEEP_MISSING = "keep"
-"""The value of the key `missing` by which a server that does not return stays unavailable."""
+"""The value of the key `missing` with which a server that does not return keeps counting as unavailable."""
 
 
 class AdmissionSettings(Protocol):
-    """What is needed of the admission controller's settings."""
+    """The part of the admission controller's settings that is used here."""
 
-    servers: int  # that share the load
+    servers: int  # number of servers that share the load
 
 
 class AdmissionNames(Protocol):
-    """What is needed of the configuration's names."""
+    """The part of the configuration's names that is used here."""
 
     settings: AdmissionSettings
 
 
 class ServerConfiguration(Protocol):
-    """What is needed of the server's JSON configuration."""
+    """The part of the server's JSON configuration that is used here."""
 
     names: AdmissionNames
 
@@ -35,20 +35,20 @@
     """The section's values, in the order of its keys."""
 
     max_unavailable: int  # servers that may be unavailable at once
-    max_unavailable_share: float  # of all known servers, likewise; one server always may
+    max_unavailable_share: float  # the same as a share of all known servers; one server is always allowed
     single_zone: bool  # only servers of one zone at a time
-    spare_capacity_share: float  # of the cores in service that has to stay free
-    min_answer_count: int  # that a returned server has to have given
-    idle_proof_time: float  # s after which a returned server counts as proved without any request
-    work_duration: float  # s that maintenance may take where the request does not say
-    leader_patience: float  # s that a drained server waits for a leader's answer before it exits
-    missing: str  # whether a server that does not return stays unavailable, or another may go: keep, give
-    drained_hook: str | None  # a command that is run on the machine once it is drained
-    return_hook: str | None  # a command that is run on the machine once it is back
-    where: dict[str, LocatedValue] = {}  # by key: where the value stands in the file
+    spare_capacity_share: float  # share of the cores in service that has to stay free
+    min_answer_count: int  # requests that a returned server has to answer before it counts as proved
+    idle_proof_time: float  # seconds after which a returned server counts as proved without answers
+    work_duration: float  # seconds that maintenance may take where the request does not say
+    leader_timeout: float  # seconds that a drained server waits for a leader's answer before it exits
+    missing: str  # keep: a server that does not return stays unavailable; give: another may be drained
+    drained_hook: str | None  # command to run on the machine once the server is drained
+    return_hook: str | None  # command to run on the machine once the server has returned
+    where: dict[str, LocatedValue] = {}  # by key: the value's position in the file
 
     def limits(self) -> MaintenanceLimits:
-        """Return what the drain schedule needs of the options."""
+        """Return the options that the drain schedule uses."""
         return MaintenanceLimits(
             self.max_unavailable,
             self.max_unavailable_share,
@@ -61,7 +61,7 @@
 
 
 def build(values: dict[str, Any], where: dict[str, LocatedValue]) -> tuple[MaintenanceOptions, list[Fault]]:
-    """Return the options from the section's values by key, and no further faults."""
+    """Return the options from the section's values by key; no combination of them is a fault."""
     options = MaintenanceOptions(
         max_unavailable=values["most"],
         max_unavailable_share=values["share"],
@@ -70,7 +70,7 @@
         min_answer_count=values["answers"],
         idle_proof_time=values["idle"],
         work_duration=values["work"],
-        leader_patience=values["patience"],
+        leader_timeout=values["patience"],
         missing=values["missing"],
         drained_hook=values["empty"],
         return_hook=values["returned"],
@@ -80,7 +80,7 @@
 
 
 def check_deployment(built: MaintenanceOptions, configuration: ServerConfiguration) -> list[Fault]:
-    """Return the faults of the options together with the server's configuration."""
+    """Return the faults of the options given the server's configuration."""
     server_count = configuration.names.settings.servers
     if server_count <= 1 or built.max_unavailable < server_count:
         return []
@@ -89,7 +89,7 @@
 
 
 def check_sections(built: MaintenanceOptions, sections: dict[str, Any]) -> list[Fault]:
-    """Return the faults of the options together with the file's other sections."""
+    """Return the faults of the options given the file's other sections."""
     if "fleet" in sections:
         return []
     return [built.where["most"].fault("no-fleet", "[turns] wants a section [fleet]")]
--- a/valeturn/maintenance/record_transitions.py
+++ b/valeturn/maintenance/record_transitions.py
@@ -1,6 +1,6 @@
 """The transitions of a maintenance record: a table of state, input, next state and effect. No I/O.
 
-A record that a transition changes goes into the replicated log as a new entry.
+Each transition is proposed to the replicated log as an entry with the new record.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 
 class ScheduleInput(IntEnum):
-    """What can happen to a maintenance record."""
+    """The inputs of a maintenance record."""
 
-    SELECTED = 0  # it is the next to be granted
+    SELECTED = 0  # the request is the next to be granted
     DRAIN_STARTED = 1  # the server drains under this grant
-    GRANT_EXPIRED = 2  # the server still serves, and the grant can't reach it any more
-    DRAIN_COMPLETED = 3  # nothing is left to answer on the server
-    MAINTENANCE_ALLOWED = 4
-    CAPACITY_NEEDED = 5  # its maintenance has not begun, and the others can't do without it
-    INCARNATION_ENDED = 6  # after its maintenance, while it warms up
+    GRANT_EXPIRED = 2  # the server still serves, and no valid grant can still reach it
+    DRAIN_COMPLETED = 3  # the server has no unanswered requests left
+    MAINTENANCE_ALLOWED = 4  # the drained server may begin its maintenance
+    CAPACITY_NEEDED = 5  # its maintenance has not begun, and the others lack capacity without it
+    INCARNATION_ENDED = 6  # the returned server's process ended while it warmed up
     RESTARTED = 7  # a later incarnation of the server reports
-    WARMUP_COMPLETED = 8  # that one is at full speed, and answers
-    RETURN_OVERDUE = 9  # it has not come back within the duration of its maintenance
-    CANCELLED = 10  # by an operator
+    WARMUP_COMPLETED = 8  # the returned server is at full speed and answers requests
+    RETURN_OVERDUE = 9  # the server has not returned within the duration of its maintenance
+    CANCELLED = 10  # an operator cancelled the request
 
 
 class ScheduleEffect(IntEnum):
-    """What a transition does to the record."""
+    """The change that a transition makes to the record."""
 
     GRANT = 0
     ADVANCE = 1
@@ -41,12 +41,12 @@
 class Transition(NamedTuple):
     """One entry of the table."""
 
-    next_state: RecordState | None  # None ends the record
+    next_state: RecordState | None  # None removes the record
     effect: ScheduleEffect
 
 
 STATES_BEFORE_MAINTENANCE = (RecordState.GRANTED, RecordState.DRAINING, RecordState.DRAINED)
-"""A server in one of these has not been told that its maintenance may begin."""
+"""States in which the server has not been instructed to begin its maintenance."""
 
 TRANSITIONS = {
     (RecordState.WAITING, ScheduleInput.SELECTED): Transition(RecordState.GRANTED, ScheduleEffect.GRANT),
@@ -70,8 +70,8 @@
         RecordState.RETURNING, ScheduleEffect.ADVANCE
     ),
     (RecordState.DRAINED, ScheduleInput.CANCELLED): Transition(RecordState.RETURNING, ScheduleEffect.ADVANCE),
-    # The server was lost before its maintenance was allowed: its place stays taken until it is back, and then
-    # the request waits again.
+    # The server ended before its maintenance was allowed: it counts as unavailable until it returns; then
+    # its request waits again.
     **{
         (state, ScheduleInput.RESTARTED): Transition(RecordState.WAITING, ScheduleEffect.REQUEUE)
         for state in STATES_BEFORE_MAINTENANCE
@@ -83,7 +83,7 @@
     (RecordState.IN_MAINTENANCE, ScheduleInput.RESTARTED): Transition(
         RecordState.WARMING_UP, ScheduleEffect.RECORD_RETURN
     ),
-    # The server was only cut off by the network and never left.
+    # The server was only unreachable over the network and never stopped serving.
     (RecordState.IN_MAINTENANCE, ScheduleInput.GRANT_EXPIRED): Transition(
         RecordState.WAITING, ScheduleEffect.REQUEUE
     ),
@@ -101,19 +101,20 @@
         RecordState.IN_MAINTENANCE, ScheduleEffect.ADVANCE
     ),
 }
-"""A pair that is missing changes nothing."""
+"""Pairs that are not listed change nothing."""
 
 
 def step(
     record: MaintenanceRecord, received: ScheduleInput, incarnation: int | None, keep_missing: bool
 ) -> list[ScheduleEntry]:
-    """Return the log entries of the table's transition for one input; none where nothing changes.
+    """Return the log entries for one input's transition; none where nothing changes.
 
     Args:
-        record: The record, as committed.
-        received: What happened to it.
-        incarnation: The server's present incarnation, if it is known.
-        keep_missing: Whether the record of a server that does not return in time is kept.
+        record: The committed record.
+        received: The input.
+        incarnation: The server's current incarnation, if it is known.
+        keep_missing: Whether the record of a server that does not return in time is marked as overdue;
+            otherwise it is removed.
     """
     transition = TRANSITIONS.get((record.state, received))
     if transition is None:
--- a/valeturn/maintenance/records.py
+++ b/valeturn/maintenance/records.py
@@ -1,7 +1,7 @@
-"""Maintenance requests as the replicated log has them, and the log entries that change them.
+"""Maintenance requests in the replicated log, and the log entries that change them.
 
-The order of a record's fields and the first word of each entry are bytes on disk and on the wire; they must
-not change. `cluster/raft.py` reads a record's state and fencing token by their positions.
+The order of a record's fields and the first word of each entry are part of the formats on disk and on the
+wire and must not change. `cluster/raft.py` reads a record's state and fencing token by their positions.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from ..errors import ValeturnError
 
 LogEntry = tuple[Any, ...]
-"""An entry as the cluster's log takes it: its kind and its fields."""
+"""An entry of the cluster's log: its kind and its fields."""
 
 RECORD_ENTRY = "turn"
 REMOVAL_ENTRY = "turned"
@@ -27,7 +27,7 @@
     """
 
     def __init__(self, state: int) -> None:
-        """Keep the number that stands for no state."""
+        """Store the invalid number."""
         super().__init__(state)
         self.state = state
 
@@ -35,7 +35,7 @@
 class RecordState(IntEnum):
     """The states of a maintenance request; in all but WAITING the server counts as unavailable.
 
-    The numbers stand in the replicated log.
+    The numbers are stored in the replicated log.
     """
 
     WAITING = 0
@@ -43,7 +43,7 @@
     DRAINING = 2
     DRAINED = 3
     IN_MAINTENANCE = 4
-    RETURNING = 5  # comes back without its maintenance
+    RETURNING = 5  # returns without its maintenance
     WARMING_UP = 6
 
 
@@ -63,29 +63,29 @@
     """One maintenance request of the replicated log. The order of the fields is the order in the log."""
 
     server: str
-    sequence_number: int  # in the order in which maintenance was requested
+    sequence_number: int  # increases in the order of the requests
     reason: str
     urgent: bool
-    work_duration: float  # s that the maintenance may take, from when the server was drained
+    work_duration: float  # seconds that the maintenance may take after the drain
     state: RecordState = RecordState.WAITING
-    fencing_token: int = 0  # of its grant; 0 without one
-    incarnation: int = 0  # of the server at its grant; while it warms up, of the one that came back
-    bypass_count: int = 0  # other requests that were granted before it
+    fencing_token: int = 0  # of the grant; 0 without one
+    incarnation: int = 0  # the server's incarnation at the grant; in WARMING_UP, that which returned
+    bypass_count: int = 0  # number of requests granted before it out of order
     overdue: bool = False
-    cancelled: bool = False  # after it was granted: the server comes back without its maintenance
+    cancelled: bool = False  # after a grant: the server returns without its maintenance
 
     def encode(self) -> list[Any]:
-        """Return the fields as the log and the messages have them."""
+        """Return the fields as they are stored in the log and sent in messages."""
         fields: list[Any] = list(self)
         fields[5] = int(self.state)
         return fields
 
 
 def decode_record(fields: Sequence[Any]) -> MaintenanceRecord:
-    """Return the record that `MaintenanceRecord.encode` was called on.
+    """Return the record from the fields that `MaintenanceRecord.encode` returned.
 
     Raises:
-        InvalidRecordError: The state is none that exists.
+        InvalidRecordError: The state does not exist.
         TypeError: A field has the wrong type.
         ValueError: The number of fields is wrong, or one can't be converted.
     """
@@ -150,4 +150,4 @@
 
 
 ScheduleEntry = RecordUpdated | RecordRemoved
-"""What the drain schedule proposes."""
+"""An entry that the drain schedule proposes."""
--- a/valeturn/maintenance/server_view.py
+++ b/valeturn/maintenance/server_view.py
@@ -1,4 +1,4 @@
-"""What the leader knows of the servers, and the capacity that follows from it."""
+"""The leader's information about the servers, and the capacity calculated from it."""
 
 from __future__ import annotations
 
@@ -10,29 +10,31 @@
 from .records import RecordState
 
 SUSPECTED_CAPACITY_SHARE = 0.5
-"""Share of its capacity that a server suspected dead counts for, as docs/operators/turns.md says."""
+"""Share of its capacity that counts for a server suspected dead; see docs/operators/turns.md."""
 
 
 class ServerView(NamedTuple):
-    """One server as its last report and the membership describe it."""
+    """One server according to its last report and the membership."""
 
     name: str
     zone: str
     incarnation: int  # 0 where it is not known
-    alive: bool  # as far as the membership knows
+    alive: bool  # according to the membership
     suspected: bool = False
     cores: float = 1.0
-    utilization: float = 0.0  # share of the cores that is in use, as a mean over seconds
-    warmup: float = 1.0  # share of its full speed that it has reached
-    overloaded: bool = False  # at a level of degradation, or rejecting many requests
+    utilization: float = 0.0  # share of the cores in use, averaged over seconds
+    warmup: float = 1.0  # share of full speed that it has reached
+    overloaded: bool = False  # at a degradation level, or rejecting many requests
     answer_count: int = 0  # requests that this incarnation has answered
-    reported_state: int = RecordState.WAITING  # DRAINING or DRAINED under `fencing_token`; else it serves
+    reported_state: int = (
+        RecordState.WAITING
+    )  # DRAINING or DRAINED under `fencing_token`; otherwise it serves
     fencing_token: int = 0
-    reported_at: float = 0.0  # s of the leader's clock
+    reported_at: float = 0.0  # seconds of the leader's clock
 
 
 class MemberView(NamedTuple):
-    """What the membership knows of one server."""
+    """The membership's information about one server."""
 
     zone: str
     incarnation: int  # 0 where it is not known
@@ -41,7 +43,7 @@
 
 
 def view_from_report(sender: str, report: Report, now: float) -> ServerView:
-    """Return the view that a server's report gives, with its shares limited to what is possible.
+    """Return the view from a server's report, with shares limited to the range 0 to 1.
 
     Raises:
         TypeError: A field of the message has the wrong type.
@@ -67,8 +69,8 @@
 def merge_report(name: str, report: ServerView | None, member: MemberView) -> ServerView:
     """Return the view of one server from its last report, if any, and the membership.
 
-    A report of an earlier incarnation says nothing about the present one: maintenance granted by it would be
-    that of an incarnation which is over, and would count as done.
+    A report of an earlier incarnation is not used for the current one: otherwise maintenance that was granted
+    to the earlier incarnation would count as done.
     """
     if report is None or member.incarnation > report.incarnation:
         return ServerView(
@@ -81,7 +83,7 @@
 def capacity_without(reporting: Mapping[str, ServerView], unavailable: Collection[str]) -> float:
     """Return the cores in service, in cores at full speed.
 
-    Servers that warm up or are suspected count for what they can carry, unavailable ones for nothing.
+    Servers that warm up or are suspected count in part, unavailable ones not at all.
     """
     return sum(
         view.cores * view.warmup * (SUSPECTED_CAPACITY_SHARE if view.suspected else 1.0)
@@ -98,7 +100,7 @@
 def overloaded_servers(reporting: Mapping[str, ServerView]) -> list[str]:
     """Return the names of the serving servers that are overloaded, sorted.
 
-    A draining server that rejects requests reports itself overloaded, which says nothing about the others.
+    A draining server that rejects requests reports itself overloaded, although the others may not be.
     """
     return sorted(
         name
@@ -110,6 +112,6 @@
 def majority_reports(reporting: Mapping[str, ServerView], views: Mapping[str, ServerView]) -> bool:
     """Return whether more than half of all known servers report.
 
-    A new leader waits for this, and a minority decides nothing.
+    A new leader waits for this, and the leader of a minority makes no decisions.
     """
     return 2 * len(reporting) > len(views)
--- a/valeturn/maintenance/status.py
+++ b/valeturn/maintenance/status.py
@@ -1,6 +1,6 @@
 """Build the part of `valeturn status` that shows maintenance.
 
-The keys are read by operators' scripts and must not change.
+Operators' scripts read the keys; they must not change.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
     leader: str | None,
     paused: bool,
 ) -> dict[str, Any]:
-    """Return the status as it is written in JSON.
+    """Return the status as a JSON object.
 
     Args:
-        now: The present time of this server's clock.
+        now: The current time of this server's clock, in seconds.
         records: All committed records.
-        schedule: The leader's schedule, where this server leads; it alone knows reasons and times.
+        schedule: The schedule, where this server leads; only it has the reasons and times.
         local_drain: This server's drain.
-        leader: The leader's name as far as it is known here.
+        leader: The leader's name, or None where it is not known here.
         paused: Whether an operator has paused grants.
     """
     ordered = sorted(records, key=lambda record: record.sequence_number)
--- a/valeturn/result_store/commands.py
+++ b/valeturn/result_store/commands.py
@@ -1,6 +1,6 @@
 """`valeturn store inspect|verify|compact DIR`: examines a store without a server, or beside one.
 
-The printed words are an interface of the commands and don't follow the names in the code.
+Scripts may read the output: the printed words stay as they are when names in the code change.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from ..transport.worker_thread import InlineWorker
 from . import directory, limits, records, window_clock
-from .compaction_policy import LATE_READ_GRACE
+from .compaction_policy import LATE_READ_GRACE_S
 from .directory import StoreDirectory
 from .environment import StoreEnvironment, StoreSettings
 from .errors import StoreRefusedError
@@ -22,11 +22,11 @@
 # The names of the states that `inspect` prints, by entry_states.ALL_STATES.
 PRINTED_STATES: Final = ("absent", "noted", "sent", "kept", "failed", "maybe")
 # Limits that `compact` never reaches: it writes less than the store held before.
-COMPACT_DISK: Final = 1 << 60  # bytes
-COMPACT_MEMORY: Final = 1 << 40  # bytes
-COMPACT_SEGMENT: Final = 4_000_000  # bytes, the default of the operator's file
-COMPACT_RETRY: Final = 1.0  # seconds
-CLOSE_PATIENCE: Final = 60.0  # seconds
+COMPACT_DISK_BYTES: Final = 1 << 60
+COMPACT_MEMORY_BYTES: Final = 1 << 40
+COMPACT_SEGMENT_BYTES: Final = 4_000_000  # the default of the operator's file
+COMPACT_RETRY_S: Final = 1.0  # between attempts after a disk failure
+CLOSE_TIMEOUT_S: Final = 60.0  # for writing the remaining records
 
 
 def run(arguments: Mapping[str, Any]) -> int:
@@ -49,7 +49,7 @@
 
 
 def _open(folder: str) -> tuple[OpenedStore, float]:
-    """Return the directory as it is found, and store time now in seconds."""
+    """Recover the directory without changing it; return the result and the current store time in seconds."""
     reading = window_clock.read_clocks(window_clock.read_boot_id())
     opened = open_store(StoreDirectory(folder), reading, may_create=False)
     return opened, window_clock.resume(opened.recovered.timestamp, reading)
@@ -58,20 +58,20 @@
 def inspect(folder: str) -> int:
     """Print what a store holds, and return 0.
 
-    It only reads, so it may be used beside a server; what that one is writing just then may look torn.
+    It only reads, so a server may be running on the directory; a write in progress may appear torn.
     """
     opened, now = _open(folder)
     recovered = opened.recovered
     counts = dict.fromkeys(PRINTED_STATES, 0)
-    ended = 0
+    expired = 0
     for shard in range(len(recovered.index.shards)):
         for row in recovered.index.shard_rows(shard):
-            if row.until + LATE_READ_GRACE > now:
+            if row.until + LATE_READ_GRACE_S > now:
                 counts[PRINTED_STATES[row.state]] += 1
             else:
-                ended += 1
+                expired += 1
     states = " ".join(f"{name}={count}" for name, count in counts.items() if count)
-    print(f"keys={recovered.index.count} {states} ended={ended}")
+    print(f"keys={recovered.index.count} {states} ended={expired}")
     log_size = sum(segment.size for segment in recovered.segments.values())
     print(
         f"segments={len(recovered.segments)} log_mb={log_size / 1e6:.3f}"
@@ -88,7 +88,7 @@
 
 
 def verify(folder: str) -> int:
-    """Read every byte of every segment, those before the snapshot too; return 1 where one is damaged."""
+    """Read every segment in full, also those that the snapshot covers; return 1 where one is damaged."""
     opened, _ = _open(folder)
     recovered = opened.recovered
     files = StoreDirectory(folder)
@@ -120,7 +120,7 @@
 
 
 def _verify_segment(number: int, data: bytes) -> tuple[int, list[str], int, int]:
-    """Return the count of frames, the faults, the count of records and the offset behind the last frame."""
+    """Return the count of frames, the faults, the count of records and the offset after the last frame."""
     offset = len(records.LOG_MAGIC)
     frame_count = 0
     record_count = 0
@@ -137,9 +137,9 @@
 
 
 def compact(folder: str) -> int:
-    """Write the entries still in their window into a new log and drop the old one.
+    """Write the entries that have not expired into a new log and drop the old one.
 
-    No server may run on the directory. Returns 0, 1 where it failed, or 2 where another process has it.
+    No server may run on the directory. Returns 0, 1 where it failed, or 2 where another process uses it.
     """
     files = StoreDirectory(folder)
     if not files.prepare():
@@ -155,11 +155,11 @@
         count=lambda *_: None,
         log=lambda *_: None,
     )
-    derived = limits.derive_limits(COMPACT_DISK, COMPACT_MEMORY, COMPACT_SEGMENT)
-    store = ResultStore(environment, StoreSettings(derived, COMPACT_RETRY, longest_window=0.0))
+    derived = limits.derive_limits(COMPACT_DISK_BYTES, COMPACT_MEMORY_BYTES, COMPACT_SEGMENT_BYTES)
+    store = ResultStore(environment, StoreSettings(derived, COMPACT_RETRY_S, longest_window=0.0))
     store.collect()
     store.compact_all()
-    done = store.close(CLOSE_PATIENCE)
+    done = store.close(CLOSE_TIMEOUT_S)
     bytes_after = sum(files.size(file) for file in files.names())
     verdict = "done" if done else "failed"
     print(f"{verdict}: keys={store.index.count} bytes_before={bytes_before} bytes_after={bytes_after}")
--- a/valeturn/result_store/compaction_policy.py
+++ b/valeturn/result_store/compaction_policy.py
@@ -1,7 +1,7 @@
-"""Decisions about the log's upkeep and about capacity for one more key, without I/O.
+"""Decisions about compaction of the log and about capacity for one more key, without I/O.
 
-Segments form a queue: only the oldest is dropped or compacted, so that the remaining numbers have no gap and
-a missing segment is recognized as damage. A segment is removed only when a durable snapshot covers all its
+Only the oldest segment is dropped or compacted, so that the remaining numbers have no gap and a missing
+segment is recognized as damage. A segment is removed only when a durable snapshot covers all its
 records.
 """
 
@@ -10,22 +10,22 @@
 from enum import StrEnum
 from typing import Final, NamedTuple
 
-# Seconds that an entry stays past its window, for duplicates that arrived in time and were read late.
-LATE_READ_GRACE: Final = 5.0
-# Number of segments past which small ones are merged by compaction: each start of the server begins one.
-MANY_SEGMENTS: Final = 24
-# Share of the usable bytes past which the oldest segment is compacted.
+# An entry is kept this long after its window, for duplicates that arrived in the window and were read later.
+LATE_READ_GRACE_S: Final = 5.0
+# Number of segments above which compaction merges small ones: each start of the server begins a new segment.
+MERGE_ABOVE_SEGMENTS: Final = 24
+# Share of the usable bytes above which the oldest segment is compacted.
 HIGH_WATER_SHARE: Final = 0.75
-# Share of a compacted segment that had to be copied from which compaction pauses, as it gains too little.
-FUTILE_COPY_SHARE: Final = 0.9
-# Seconds of that pause: without it a full log would be rewritten without end.
-FUTILE_PAUSE: Final = 10.0
-# Seconds after which a rejected request is told to come back where nothing better is known.
-DEFAULT_RETRY_AFTER: Final = 1.0
+# Compaction pauses when more than this share of a segment had to be copied, as little space is freed.
+MAX_COPIED_SHARE: Final = 0.9
+# Length of that pause: without it a full log would be rewritten continuously.
+COMPACTION_PAUSE_S: Final = 10.0
+# The time after which a rejected request may be retried, where nothing more exact is known.
+DEFAULT_RETRY_AFTER_S: Final = 1.0
 
 
 class LogAction(StrEnum):
-    """What is done with the log in the background."""
+    """A background action on the log."""
 
     NOTHING = "nothing"
     SNAPSHOT = "snapshot"
@@ -48,25 +48,25 @@
     segments: tuple[SegmentView, ...]  # the oldest first, without the active one
     active: tuple[int, int]  # number and size in bytes of the segment being written
     covered: int  # all segments below this number are covered by the durable snapshot
-    unsnapshotted: int  # bytes of log behind the snapshot's position
+    unsnapshotted: int  # bytes of log after the snapshot's position
     snapshot_size: int  # bytes
     segment_limit: int  # bytes at which a segment is full
     usable: int  # bytes that the log may use
     healthy: bool  # the disk accepts writes
-    pause_until: float  # store time, seconds: no compaction for space before it
+    pause_until: float  # store time, seconds: no compaction to free space before it
 
 
 def oldest_expired(view: LogView) -> bool:
     """Return whether the oldest segment holds no entry that is still in its window."""
-    return bool(view.segments) and view.now > view.segments[0][2] + LATE_READ_GRACE
+    return bool(view.segments) and view.now > view.segments[0][2] + LATE_READ_GRACE_S
 
 
 def short_of_space(view: LogView) -> bool:
-    """Return whether space runs out or there are many small segments, and no pause is in force."""
+    """Return whether space is short or there are many small segments, outside a pause."""
     if not view.segments or view.now < view.pause_until:
         return False
     used = sum(size for _, size, _ in view.segments) + view.active[1]
-    many_small = len(view.segments) > MANY_SEGMENTS and view.segments[0][1] < view.segment_limit / 2
+    many_small = len(view.segments) > MERGE_ABOVE_SEGMENTS and view.segments[0][1] < view.segment_limit / 2
     return many_small or used > HIGH_WATER_SHARE * view.usable
 
 
@@ -96,7 +96,7 @@
     used: int  # bytes of log
     reserved: int  # bytes, if every admitted request ended with the longest result
     usable: int  # bytes
-    waiting: int  # bytes that wait for the disk
+    waiting: int  # bytes not yet written to the disk
     max_waiting: int  # bytes
     in_doubt_for: float  # seconds until no key is in doubt because of lost records
     disk_retry_in: float  # seconds until the disk is tried again; 0 while it accepts writes
@@ -110,8 +110,8 @@
     if view.disk_retry_in > 0:
         return view.disk_retry_in
     if view.keys >= view.max_keys or view.used + view.reserved > view.usable:
-        return max(DEFAULT_RETRY_AFTER, view.earliest_end_in + LATE_READ_GRACE)
-    return DEFAULT_RETRY_AFTER if view.waiting > view.max_waiting else 0.0
+        return max(DEFAULT_RETRY_AFTER_S, view.earliest_end_in + LATE_READ_GRACE_S)
+    return DEFAULT_RETRY_AFTER_S if view.waiting > view.max_waiting else 0.0
 
 
 class DiskHealth(StrEnum):
--- a/valeturn/result_store/directory.py
+++ b/valeturn/result_store/directory.py
@@ -27,7 +27,7 @@
 
 
 class StoreFiles(Protocol):
-    """What the store needs of a directory; tests inject one that fails. All methods may raise OSError.
+    """The file operations that the store uses; tests inject failures. All methods may raise OSError.
 
     File arguments are names within the directory. A file that is written stays open from `create` to `close`.
     """
@@ -73,7 +73,7 @@
 
 
 class StoreDirectory:
-    """The files of one store in a directory of the system; see `StoreFiles`."""
+    """The files of one store in a directory of the file system; see `StoreFiles`."""
 
     def __init__(self, folder: str) -> None:
         self.folder = folder
@@ -89,7 +89,7 @@
         os.makedirs(self.folder, mode=0o700, exist_ok=True)
         try:
             descriptor = os.open(self.path(LOCK_FILE), os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
-        except OSError:  # A disk that can't be written: what it holds is read all the same.
+        except OSError:  # The disk is read-only: the store is still readable.
             descriptor = os.open(self.path(LOCK_FILE), os.O_RDONLY | os.O_CLOEXEC)
         self.lock_descriptor = descriptor
         try:
@@ -137,9 +137,9 @@
     def write(self, file: str, data: bytes) -> None:
         """Append bytes to a file that is open."""
         descriptor = self._descriptor(file)
-        rest = memoryview(data)
-        while rest:
-            rest = rest[os.write(descriptor, rest) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(descriptor, remaining) :]
 
     def sync(self, file: str) -> None:
         """Make the bytes written to an open file durable."""
--- a/valeturn/result_store/disk_jobs.py
+++ b/valeturn/result_store/disk_jobs.py
@@ -1,6 +1,6 @@
-"""The jobs that the worker thread does in the store's directory. Nothing here decides.
+"""The file operations that the worker thread runs in the store's directory.
 
-All methods may raise OSError.
+They make no decisions. All methods may raise OSError.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
         self.current: str | None = None  # the file of the active segment while it can be written
 
     def begin_segment(self, number: int, head: bytes) -> int:
-        """Begin a segment with its first frame and return its bytes, durable with its directory entry.
+        """Create a segment with its first frame, durable with its directory entry; return its size in bytes.
 
-        The segment before is closed. A file of this number that an earlier attempt left was never part of
+        Closes the previous segment. A file of this number was left by a failed attempt, was never part of
         the log, and is removed.
         """
         self.abandon()
@@ -35,13 +35,13 @@
         self._write(records.LOG_MAGIC + head)
         try:
             self.files.sync_folder()
-        except OSError:  # Appends queued behind this job must not succeed as if the segment existed.
+        except OSError:  # Appends queued after this job must not succeed as if the segment existed.
             self.abandon()
             raise
         return len(records.LOG_MAGIC) + len(head)
 
     def append(self, data: bytes) -> int:
-        """Append with one write and one sync, and return the number of bytes."""
+        """Append to the active segment with one write and one sync; return the number of bytes."""
         if self.current is None:
             raise OSError(0, "no segment is open")
         self._write(data)
@@ -57,16 +57,16 @@
             raise
 
     def abandon(self) -> None:
-        """Close the active segment's descriptor, which is never written again."""
+        """Close the active segment's descriptor; it is never written again."""
         file = self.current
         self.current = None
         if file is not None:
-            # An error of close tells nothing that the sync did not tell.
+            # The failed write or sync was reported already; an error of close adds nothing.
             with contextlib.suppress(OSError):
                 self.files.close(file)
 
     def read_record(self, number: int, offset: int, size: int) -> records.Record | None:
-        """Read one record of a segment, or return None where it is not whole."""
+        """Read one record of a segment, or return None where it is incomplete or damaged."""
         return records.decode_single(self.files.read_at(directory.segment_file(number), offset, size))
 
     def read_segment(self, number: int) -> bytes:
@@ -79,14 +79,14 @@
         self.files.sync_folder()
 
     def set_aside(self, number: int) -> None:
-        """Rename a damaged segment durably, so that it leaves the log and stays for inspection."""
+        """Rename a damaged segment durably, so that it is no longer part of the log and can be inspected."""
         self.files.rename(directory.segment_file(number), directory.damaged_file(number))
         self.files.sync_folder()
 
     # A snapshot is written under another name, made durable, and then renamed atomically.
 
     def begin_snapshot(self, head: bytes) -> int:
-        """Begin a snapshot with its head and return the head's bytes."""
+        """Create a snapshot file with its head; return the head's size in bytes."""
         self.files.close(NEW_SNAPSHOT_FILE)
         self.files.remove(NEW_SNAPSHOT_FILE)
         self.files.create(NEW_SNAPSHOT_FILE)
@@ -95,7 +95,7 @@
     def write_snapshot(self, data: bytes) -> int:
         """Append to the snapshot and return the number of bytes.
 
-        After a failure the file is closed, so that no later write and no end can make it look whole.
+        After a failure the file is closed, so that no later write or `end_snapshot` makes it look complete.
         """
         try:
             self.files.write(NEW_SNAPSHOT_FILE, data)
--- a/valeturn/result_store/entry_states.py
+++ b/valeturn/result_store/entry_states.py
@@ -1,8 +1,8 @@
 """The states of an entry and the transitions between them: a table without I/O.
 
-An entry is what the store knows of one idempotency key within its deduplication window. A restart is an input
-like the others: the state after it follows from what is on the disk, so an intent that was not durable leaves
-the key ABSENT, and one that was durable leaves it IN_DOUBT.
+An entry is the store's information about one idempotency key within its deduplication window. A restart is an
+input like the others: the state after it follows from what is on the disk, so that a key is ABSENT if its
+intent was not durable, and IN_DOUBT if it was.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 INTENT_LOST: Final = 2  # The intent could not be made durable.
 SUCCEEDED: Final = 3  # The execution ended with a result.
 ENDED_WITHOUT_RESULT: Final = 4
-NEVER_STARTED: Final = 5  # It is proved that the execution never began.
+NEVER_STARTED: Final = 5  # The execution is known never to have begun.
 RESTART: Final = 6  # The server was restarted.
 WINDOW_ENDED: Final = 7  # The deduplication window is over.
 
@@ -43,26 +43,26 @@
 
 
 class LookupOutcome(StrEnum):
-    """What the store answers about a request whose key is looked up."""
+    """What the dispatcher does with a request after its key was looked up."""
 
-    EXECUTE = "execute"  # Unknown key: the request may run.
-    COALESCE = "coalesce"  # Wait for the execution that is under way.
+    EXECUTE = "execute"  # Unknown key: the request may be executed.
+    COALESCE = "coalesce"  # Wait for the execution in progress.
     ANSWER = "answer"  # The stored result is the answer.
-    FAIL = "fail"  # The request may have run and has no result: report failure, never run it again.
+    FAIL = "fail"  # Possibly executed, without a result: report a failure, never execute it again.
 
 
-# (state, input) -> (next state, effect). A missing pair changes nothing; the store counts it as a fault.
+# (state, input) -> (next state, effect). Other pairs change nothing; the store counts them as errors.
 TRANSITIONS: Final[dict[tuple[int, int], tuple[int, EntryEffect | None]]] = {
     (ABSENT, START): (INTENT_PENDING, EntryEffect.WRITE_INTENT),
     (INTENT_PENDING, INTENT_DURABLE): (EXECUTING, EntryEffect.SEND),
     (INTENT_PENDING, INTENT_LOST): (ABSENT, EntryEffect.REJECT),
     (INTENT_PENDING, NEVER_STARTED): (ABSENT, EntryEffect.WRITE_UNSENT),
-    (INTENT_PENDING, RESTART): (IN_DOUBT, None),  # The write may have reached the disk whole.
+    (INTENT_PENDING, RESTART): (IN_DOUBT, None),  # The whole write may have reached the disk.
     (EXECUTING, SUCCEEDED): (STORED, EntryEffect.WRITE_RESULT),
     (EXECUTING, ENDED_WITHOUT_RESULT): (FAILED, EntryEffect.WRITE_FAILED),
     (EXECUTING, NEVER_STARTED): (ABSENT, EntryEffect.WRITE_UNSENT),
     (EXECUTING, RESTART): (IN_DOUBT, None),
-    (IN_DOUBT, SUCCEEDED): (STORED, EntryEffect.WRITE_RESULT),  # The executor reported after all.
+    (IN_DOUBT, SUCCEEDED): (STORED, EntryEffect.WRITE_RESULT),  # The executor reported the end later.
     (IN_DOUBT, ENDED_WITHOUT_RESULT): (FAILED, EntryEffect.WRITE_FAILED),
     (IN_DOUBT, NEVER_STARTED): (ABSENT, EntryEffect.WRITE_UNSENT),
     (IN_DOUBT, RESTART): (IN_DOUBT, None),
@@ -86,5 +86,5 @@
 
 
 def transition(state: int, entry_input: int) -> tuple[int, EntryEffect | None] | None:
-    """Return the next state and the effect, or None where the input has no meaning in this state."""
+    """Return the next state and the effect, or None where the input is not valid in this state."""
     return TRANSITIONS.get((state, entry_input))
--- a/valeturn/result_store/environment.py
+++ b/valeturn/result_store/environment.py
@@ -1,4 +1,4 @@
-"""What a store is built with: its collaborators and its figures."""
+"""What a store is built with: its collaborators and its settings."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 
 class StoreSettings(NamedTuple):
-    """The figures of one store."""
+    """The settings of one store."""
 
     limits: StoreLimits
     retry_delay: float  # seconds from a failure of the disk to the next attempt
-    longest_window: float  # seconds, of all windows that are configured
+    longest_window: float  # seconds, the longest of all configured windows
--- a/valeturn/result_store/index.py
+++ b/valeturn/result_store/index.py
@@ -1,9 +1,9 @@
 """The index from a key's digest to its record in the log: hash tables with open addressing, in memory.
 
-The table is split into shards of bytearrays with linear probing. Chosen against a plain dict (`valeturn lab
-store` measures both): a third of the memory a key; no pause of tens of milliseconds when a table of a million
-keys is doubled, as only one shard of about a thousand is; and a shard is written to a snapshot and read back
-as it is, so that a start reads a million keys in a tenth of a second.
+The table is split into shards of bytearrays with linear probing. Compared with a plain dict
+(`valeturn lab store` measures both): a third of the memory per key; no pause of tens of milliseconds when a
+table of a million keys is doubled, as only one shard of about a thousand is doubled at a time; and a shard is
+written to a snapshot and read back without conversion, so that a start reads a million keys in 0.1 s.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 ROW_FORMAT: Final = struct.Struct("<16sIIIHBx")
 ROW_SIZE: Final = ROW_FORMAT.size  # bytes
 STATE_OFFSET: Final = 30  # of the state within a row, in bytes; the state is 0 in an empty row
-# Bound once: a look-up of the method for every stored record is measurable.
+# Bound once: looking the method up for every stored record takes measurable time.
 _pack_row_into = ROW_FORMAT.pack_into
 
 
 class IndexRow(NamedTuple):
-    """What the index knows of one key."""
+    """The index entry of one key."""
 
     digest: bytes  # 16 bytes
     segment: int
@@ -42,7 +42,7 @@
         self.count = 0
 
     def _find(self, digest: bytes) -> tuple[int, bytearray | None, int]:
-        """Return the shard's number, the shard, and the offset of the digest's row or of its empty place."""
+        """Return the shard's number, the shard, and the offset of the digest's row or a free row for it."""
         number = (digest[0] | digest[1] << 8) & SHARD_COUNT - 1
         shard = self.shards[number]
         if shard is None:
@@ -77,13 +77,13 @@
         _pack_row_into(shard, start, digest, segment, offset, until, size, state)
 
     def _double(self, number: int, old: bytearray) -> bytearray:
-        """Replace a shard by one of twice its size and return the new one."""
+        """Replace a shard with one of twice its size and return the new one."""
         size = 2 * len(old)
         shard = bytearray(size)
         for offset in range(0, len(old), ROW_SIZE):
             if old[offset + STATE_OFFSET]:
                 row = old[offset : offset + ROW_SIZE]
-                start = _home(row, 0, size)
+                start = _probe_start(row, 0, size)
                 while shard[start + STATE_OFFSET]:
                     start = (start + ROW_SIZE) % size
                 shard[start : start + ROW_SIZE] = row
@@ -113,7 +113,7 @@
         return bytes(shard) if shard is not None and self.counts[number] else None
 
     def load_shard(self, number: int, data: bytes) -> None:
-        """Replace a shard by dumped bytes.
+        """Replace a shard with bytes from `dump_shard`.
 
         Raises:
             ValueError: The bytes can't be those of a shard.
@@ -135,13 +135,13 @@
         return sum(len(shard) for shard in self.shards if shard is not None)
 
 
-def _home(shard: bytearray, offset: int, size: int) -> int:
+def _probe_start(shard: bytearray, offset: int, size: int) -> int:
     """Return where the probe sequence of the row at `offset` begins in a shard of `size` bytes."""
     return (shard[offset + 2] | shard[offset + 3] << 8 | shard[offset + 4] << 16) * ROW_SIZE % size
 
 
 def _close_gap(shard: bytearray, start: int) -> None:
-    """Clear a row and move back those behind it that had been displaced (deletion without tombstones).
+    """Clear a row and move displaced rows after it back (deletion without tombstones).
 
     After D. Knuth, The Art of Computer Programming, volume 3, section 6.4, algorithm R.
     """
@@ -152,7 +152,7 @@
         offset = (offset + ROW_SIZE) % size
         if not shard[offset + STATE_OFFSET]:
             break
-        home = _home(shard, offset, size)
+        home = _probe_start(shard, offset, size)
         if (offset - home) % size >= (offset - gap) % size:
             shard[gap : gap + ROW_SIZE] = shard[offset : offset + ROW_SIZE]
             gap = offset
