--- a/valeturn/result_store/log.py
+++ b/valeturn/result_store/log.py
@@ -1,8 +1,8 @@
-"""The log as it is written: batches, segments, the disk's health, and the background jobs one at a time.
+"""Writing the log: batches, segments, the disk's health, and one background job at a time.
 
-This module knows no keys: what a durable record means, and what is done about one that could not be made
-durable, is for `ResultStore`. All calls come from the event loop; the disk is reached only through the worker
-thread, so that a slow disk never stops the loop.
+This module does not interpret keys: `ResultStore` handles durable records and those that could not be made
+durable. All calls come from the event loop; the disk is accessed only through the worker thread, so that a
+slow disk never blocks the loop.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 from .window_clock import WindowClock
 from .worker import FrameAppended, JobStepDone, SegmentAbandoned, SegmentBegun
 
-# Bytes of records from which a write takes no more: what waits longer comes with the next one.
-BATCH_SIZE: Final = 1 << 20
-POLL_INTERVAL: Final = 0.001  # seconds between looks at the worker thread, where the caller waits for it
-HEALTHY: Final = DiskHealth.HEALTHY  # bound once: an attribute of an Enum is looked up slowly
+# A write takes no further records from this size on; the rest follows with the next write.
+BATCH_BYTES: Final = 1 << 20
+POLL_INTERVAL_S: Final = 0.001  # between checks of the worker thread, where the caller waits for it
+HEALTHY: Final = DiskHealth.HEALTHY  # bound once: reading an attribute of an Enum is slow
 
 # The server's log events for the findings of a recovery; `inspect` prints the findings under their own names.
 RECOVERY_EVENTS: Final = {
@@ -41,15 +41,15 @@
 
 
 class InFlightBatch(NamedTuple):
-    """What the worker thread is writing."""
+    """The records that the worker thread is writing."""
 
     records: list[QueuedRecord]
     size: int  # bytes of these records
-    timestamp_size: int  # bytes of the timestamp in front of them
+    timestamp_size: int  # bytes of the timestamp before them
 
 
 def _ignore_result(request: SegmentAbandoned, result: OSError | None) -> None:
-    """Ignore how closing a failed descriptor ended: the failure was handled when it was seen."""
+    """Ignore the result of closing a failed descriptor: the failure itself was handled already."""
 
 
 class SegmentedLog(ABC):
@@ -71,7 +71,7 @@
         opened = open_store(self.files, environment.read_clocks())
         self.key = opened.key
         self.recovered = opened.recovered
-        # By execution id: the digest and request class of executions from before the start.
+        # By execution id: the digest and workload of executions from before the start.
         self.unfinished = recovery.unfinished_executions(self.recovered)
         self.recovered.longest_window = max(self.recovered.longest_window, settings.longest_window)
         self.clock = WindowClock(self.recovered.timestamp, environment.read_clocks)
@@ -83,18 +83,20 @@
         self.in_flight: InFlightBatch | None = None
         self.health = HEALTHY
         self.retry_at = 0.0  # store time, seconds: when a failed disk is tried again
-        self.segment_ends = list(self.recovered.segment_ends)  # what the next head tells
+        self.segment_ends = list(
+            self.recovered.segment_ends
+        )  # (segment, good bytes), for the head of the next segment
         self.active_begun = False  # whether the active segment is durable
         self.sequence = self.recovered.sequence
         self.covered = opened.covered
         self.snapshot_size = opened.snapshot_size
         self.position = opened.position or LogPosition(0, 0)
         self.job: LogJob | None = None
-        self.pause_until = 0.0  # store time, seconds: no compaction for space before it
+        self.pause_until = 0.0  # store time, seconds: no compaction to free space before it
         damaged = {number for number, _ in self.recovered.damaged}
         self.to_set_aside = sorted(damaged & set(self.recovered.segments))
         self.set_aside = list(opened.set_aside)
-        self.wants_snapshot = bool(self.recovered.damaged or opened.snapshot_fault)
+        self.snapshot_needed = bool(self.recovered.damaged or opened.snapshot_fault)
         self._worker_handlers: dict[type, Callable[[Any, Any], None]] = {
             SegmentBegun: self._on_begun,
             FrameAppended: self._on_appended,
@@ -108,20 +110,20 @@
         }
         for event, fields in self.recovered.notes:
             self.log(RECOVERY_EVENTS[event], fields)
-        self._rescue_damaged()
+        self._copy_damaged()
         self.active = self._open_next()
 
     @abstractmethod
     def _on_durable(self, queued: QueuedRecord, offset: int) -> None:
-        """Take note that a record of the batch in flight is durable at this offset."""
+        """Handle a record of the batch in flight that is durable at this offset."""
 
     @abstractmethod
     def _on_not_durable(self, batch: list[QueuedRecord]) -> None:
-        """Decide about the records of a batch whose write failed, and about those that wait."""
+        """Handle the records of a batch whose write failed, and those that are still pending."""
 
     @abstractmethod
     def collect(self) -> list[StoreEvent]:
-        """Handle what the worker thread has done, and return the events since the last call."""
+        """Handle the results of the worker thread, and return the events since the last call."""
 
     def queue(self, record: records.KeyRecord, entry: LiveEntry | None = None) -> None:
         """Queue a record for the next write."""
@@ -132,7 +134,7 @@
         self.pending_bytes += len(queued.data)
 
     def flush(self) -> None:
-        """Hand queued records to the disk in one write, once the write before is through."""
+        """Start one write of the queued records, unless a write is in progress."""
         if not self.pending or self.in_flight is not None or self.health != HEALTHY:
             return
         if self.active.size >= self.limits.segment:
@@ -140,7 +142,7 @@
         batch: list[QueuedRecord] = []
         size = 0
         for queued in self.pending:
-            if size >= BATCH_SIZE:
+            if size >= BATCH_BYTES:
                 break
             size += len(queued.data)
             batch.append(queued)
@@ -154,7 +156,7 @@
         self.worker.submit(FrameAppended(), self.writer.append, data)
 
     def _open_next(self) -> recovery.Segment:
-        """Ask for the next segment and return it; its head tells the sizes of those before."""
+        """Request the next segment and return it; its head holds the sizes of the segments before it."""
         self.recovered.last_segment += 1
         number = self.recovered.last_segment
         head = records.SegmentHead(
@@ -186,7 +188,7 @@
             self._disk_effects[effect]()
 
     def _abandon_segment(self) -> None:
-        """Close the failed descriptor: what reached the disk can't be known, and is written again later."""
+        """Close the failed descriptor: what reached the disk is unknown, and is written again later."""
         self.retry_at = self.clock.now() + self.settings.retry_delay
         self.worker.submit(SegmentAbandoned(), self.writer.abandon)
 
@@ -198,16 +200,16 @@
         fields = {"operation": operation, "error": str(error), "errno": getattr(error, "errno", None)}
         self.log("store_operation_failed", fields)
 
-    # What the worker thread has done
+    # Results of the worker thread
 
     def _on_begun(self, request: SegmentBegun, result: int | OSError) -> None:
         if isinstance(result, OSError):
             self._report_failure("begin", result)
             self.recovered.segments.pop(request.number, None)
-            self.recovered.last_segment -= 1  # Used again: a number that is missing would be damage.
+            self.recovered.last_segment -= 1  # Used again: a missing number would count as damage.
             self.sequence -= 1
             self._change_health(DiskEvent.FAILED)
-            if self.in_flight is not None:  # An append queued behind it will fail on its own.
+            if self.in_flight is not None:  # An append queued after it fails as well.
                 self.count("store.appends_behind_failure")
             return
         self.segment_ends = [(request.number, result)]
@@ -243,8 +245,8 @@
 
     # Damaged segments
 
-    def _rescue_damaged(self) -> None:
-        """At the start, write anew what can be read of damaged segments; the rest is recorded as failed."""
+    def _copy_damaged(self) -> None:
+        """At the start, copy the readable entries of damaged segments; record the others as failed."""
         damaged = {number for number, _ in self.recovered.damaged}
         if not damaged:
             return
@@ -253,16 +255,16 @@
         for shard in range(len(self.index.shards)):
             for row in self.index.shard_rows(shard):
                 if row.segment in damaged:
-                    self.copy(row, self._read_now(row))
+                    self.copy(row, self._read_record(row))
 
-    def _read_now(self, row: IndexRow) -> records.Record | None:
+    def _read_record(self, row: IndexRow) -> records.Record | None:
         try:
             return self.writer.read_record(row.segment, row.offset, row.size)
         except OSError:
             return None
 
     def copy(self, row: IndexRow, record: records.Record | None) -> None:
-        """Queue an entry anew; without its own record, as an execution that ended without a result."""
+        """Queue a copy of an entry; without its own record, as an execution that ended without a result."""
         key_records = (records.IntentRecord, records.ResultRecord, records.FailedRecord)
         if isinstance(record, key_records) and record.digest == row.digest:
             self.queue(record)
@@ -270,12 +272,12 @@
             self.queue(records.FailedRecord(row.digest, row.until))
 
     def _set_next_aside(self) -> None:
-        """Take a damaged segment out of the log once a snapshot stands without it.
+        """Take a damaged segment out of the log once a snapshot no longer needs it.
 
-        A few files stay for inspection; older ones are deleted.
+        The latest few files are kept for inspection; older ones are deleted.
         """
-        if self.wants_snapshot or self.to_set_aside[0] >= self.covered:
-            self.wants_snapshot = False
+        if self.snapshot_needed or self.to_set_aside[0] >= self.covered:
+            self.snapshot_needed = False
             self.job = SnapshotJob(self)
             return
         number = self.to_set_aside.pop(0)
@@ -290,19 +292,21 @@
     # Background jobs
 
     def view(self, now: float) -> compaction_policy.LogView:
-        """Return what the compaction policy decides on; `now` is store time in seconds."""
+        """Return the input of the compaction policy; `now` is store time in seconds."""
         segments = tuple(
             SegmentView(segment.number, segment.size, segment.longest_until)
             for number, segment in sorted(self.recovered.segments.items())
             if number != self.active.number
         )
-        behind = sum(segment.size for segment in segments if segment.number >= self.position.segment)
+        bytes_after_position = sum(
+            segment.size for segment in segments if segment.number >= self.position.segment
+        )
         return compaction_policy.LogView(
             now=now,
             segments=segments,
             active=(self.active.number, self.active.size),
             covered=self.covered,
-            unsnapshotted=behind + self.active.size - self.position.offset,
+            unsnapshotted=bytes_after_position + self.active.size - self.position.offset,
             snapshot_size=self.snapshot_size,
             segment_limit=self.limits.segment,
             usable=self.usable(),
@@ -329,13 +333,13 @@
         self.worker.submit(JobStepDone("drop", None), self.writer.delete_segment, number)
 
     def _step_background(self, now: float) -> None:
-        """Do one step of what is done in the background."""
+        """Retry a failed disk; step the background job or start the next one."""
         if self.health == DiskHealth.BACKING_OFF and now >= self.retry_at and self.in_flight is None:
             self._change_health(DiskEvent.RETRY)
         if self.job is not None:
             if not self.job.step():
                 self.job = None
-        elif (self.wants_snapshot or self.to_set_aside) and self.health == HEALTHY and self.active_begun:
+        elif (self.snapshot_needed or self.to_set_aside) and self.health == HEALTHY and self.active_begun:
             if not self.pending and self.in_flight is None:
                 self._set_next_aside()
         else:
@@ -343,15 +347,15 @@
         self.flush()
 
     def compact_all(self) -> None:
-        """Compact every segment there was at the start; for the command, which waits for each job."""
-        self.wants_snapshot = False
+        """Compact every segment that existed at the start; the `compact` command waits for this."""
+        self.snapshot_needed = False
         self.finish(SnapshotJob(self))
         for number in sorted(n for n in self.recovered.segments if n < self.active.number):
             self.finish(CompactionJob(self, number))
         self.finish(SnapshotJob(self))
 
     def finish(self, job: LogJob) -> None:
-        """Do a job in one go, for the commands; a failure of the disk ends it."""
+        """Run a job to its end, for the commands; a failure of the disk ends it."""
         self.job = job
         while self.job is not None:
             if not job.step():
@@ -359,11 +363,11 @@
             self.flush()
             self.collect()
             if self.worker.busy:
-                time.sleep(POLL_INTERVAL)
+                time.sleep(POLL_INTERVAL_S)
             if self.health != HEALTHY:
                 return
 
-    # Figures
+    # Sizes and shutdown
 
     def used(self) -> int:
         """Return the bytes of all segments."""
@@ -374,25 +378,25 @@
         return usable_log_bytes(self.limits)
 
     def waiting(self) -> int:
-        """Return the bytes of records that wait for the disk."""
+        """Return the bytes of records that are not durable yet."""
         return self.pending_bytes + (self.in_flight.size if self.in_flight is not None else 0)
 
     def not_durable(self) -> list[QueuedRecord]:
-        """Return the records that wait for the disk."""
+        """Return the records that are not durable yet."""
         if self.in_flight is None:
             return list(self.pending)
         return [*self.pending, *self.in_flight.records]
 
-    def close(self, patience: float) -> bool:
-        """Write what waits, for up to `patience` seconds; return whether all of it became durable."""
-        deadline = time.monotonic() + patience
+    def close(self, timeout_s: float) -> bool:
+        """Write the queued records, for up to `timeout_s` seconds; return whether all became durable."""
+        deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
             self.collect()
             self.flush()
             if (self.in_flight is None and not self.pending) or self.health != HEALTHY:
                 break
-            time.sleep(POLL_INTERVAL)
+            time.sleep(POLL_INTERVAL_S)
         self.worker.finish(max(0.0, deadline - time.monotonic()))
-        self.collect()  # what the worker has done while it was waited for
+        self.collect()  # results that arrived during the wait
         self.files.release()
         return not self.pending and self.in_flight is None
--- a/valeturn/result_store/log_jobs.py
+++ b/valeturn/result_store/log_jobs.py
@@ -1,4 +1,4 @@
-"""The long jobs on the log, snapshot and compaction, in small steps between the event loop's turns."""
+"""The long jobs on the log, snapshot and compaction, in small steps between other work of the event loop."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 if TYPE_CHECKING:
     from .log import SegmentedLog
 
-# Shards copied in one step: 2 MB of an index of a million keys, under a millisecond.
+# Shards copied in one step: 2 MB of an index of a million keys, which takes under a millisecond.
 SHARDS_PER_STEP: Final = 32
-# Records of a compacted segment that are examined in one step: 3 ms.
+# Records of a compacted segment that are examined in one step, which takes 3 ms.
 RECORDS_PER_STEP: Final = 2000
 _KEY_RECORDS: Final = (records.IntentRecord, records.ResultRecord, records.FailedRecord)
 
@@ -27,10 +27,10 @@
     """A job in steps."""
 
     def step(self) -> bool:
-        """Do the next step; return whether more is to come."""
+        """Do the next step; return False once the job is done."""
 
-    def on_done(self, step: str, result: Any) -> None:  # noqa: ANN401 (each step has a result of its own)
-        """Take the result of a step that the worker thread did."""
+    def on_done(self, step: str, result: Any) -> None:  # noqa: ANN401 (the type depends on the step)
+        """Handle the result of a step that the worker thread ran."""
 
 
 class SnapshotJob:
@@ -42,7 +42,7 @@
         self.size = 0  # bytes written
         self.shard_count = 0
         self.ended = False
-        # All that is durable now, and nothing else, stands before this position.
+        # Exactly the records that are durable now lie before this position.
         self.position = LogPosition(log.active.number, log.active.size)
         recovered = log.recovered
         segments = [
@@ -62,13 +62,13 @@
             entries=None,
         )
         log.count("store.snapshots")
-        self._ask(log.writer.begin_snapshot, snapshot.encode_head(head))
+        self._submit(log.writer.begin_snapshot, snapshot.encode_head(head))
 
-    def _ask(self, function: Callable[..., int], argument: bytes | int) -> None:
+    def _submit(self, function: Callable[..., int], argument: bytes | int) -> None:
         self.log.worker.submit(JobStepDone(function.__name__, self), function, argument)
 
     def step(self) -> bool:
-        """Copy some shards; the job is over when the worker thread has written the end."""
+        """Copy some shards; `on_done` ends the job when the worker thread has completed the file."""
         index = self.log.index
         shards: list[bytes] = []
         while self.next_shard < len(index.shards) and len(shards) < SHARDS_PER_STEP:
@@ -78,10 +78,10 @@
             self.next_shard += 1
         self.shard_count += len(shards)
         if shards:
-            self._ask(self.log.writer.write_snapshot, b"".join(shards))
+            self._submit(self.log.writer.write_snapshot, b"".join(shards))
         if self.next_shard == len(index.shards) and not self.ended:
             self.ended = True
-            self._ask(self.log.writer.end_snapshot, self.shard_count)
+            self._submit(self.log.writer.end_snapshot, self.shard_count)
         return True
 
     def on_done(self, step: str, result: int) -> None:
@@ -96,7 +96,7 @@
 
 
 class CompactionJob:
-    """Writes the entries of a segment that are still in their window anew, then drops the segment."""
+    """Copies the entries of a segment that have not expired to the log's end, then drops the segment."""
 
     def __init__(self, log: SegmentedLog, number: int) -> None:
         self.log = log
@@ -106,14 +106,16 @@
         self.records: Iterator[tuple[int, records.Record]] | None = (
             None  # with their offsets; None until read
         )
-        self.next_shard: int | None = None  # to search for rows whose record could not be read
-        self.awaited: dict[int, QueuedRecord] | None = None  # what must be durable before the segment may go
+        self.next_shard: int | None = None  # of the search for rows whose record could not be read
+        self.awaited: dict[int, QueuedRecord] | None = (
+            None  # by id: what must be durable before the segment is dropped
+        )
         self.has_bad_tail = False
         log.count("store.compactions")
         log.worker.submit(JobStepDone("read_segment", self), log.writer.read_segment, number)
 
     def on_done(self, step: str, result: bytes) -> None:
-        """Take the segment's bytes."""
+        """Store the segment's bytes for decoding."""
         if step != "read_segment" or self.records is not None:
             return
         self.size = len(result)
@@ -126,7 +128,7 @@
             for record_offset, _, record in records.decode_records(frame.payload):
                 yield frame.offset + record_offset, record
             offset = frame.end
-        self.has_bad_tail = offset < len(data)  # The rest of a write that failed, or damage.
+        self.has_bad_tail = offset < len(data)  # A failed write left it, or it is damaged.
 
     def step(self) -> bool:
         """Copy some entries; return False once the segment is dropped."""
@@ -134,7 +136,7 @@
         if self.records is None:
             return True
         if self.awaited is None:
-            # New requests go first.
+            # Records of new requests take precedence over copies.
             if log.health == DiskHealth.HEALTHY and log.waiting() <= log.limits.waiting // 2:
                 self._copy_some(self.records)
             return True
@@ -143,10 +145,10 @@
         self._end()
         return False
 
-    def _copy_some(self, source: Iterator[tuple[int, records.Record]]) -> None:
+    def _copy_some(self, located_records: Iterator[tuple[int, records.Record]]) -> None:
         if self.next_shard is None:
             for _ in range(RECORDS_PER_STEP):
-                found = next(source, None)
+                found = next(located_records, None)
                 if found is None:
                     self.next_shard = 0
                     break
@@ -160,24 +162,24 @@
             self.awaited = {id(queued): queued for queued in self.log.not_durable()}
 
     def _copy_record(self, offset: int, record: records.Record) -> None:
-        """Copy a record if it is the current one of an entry that is still in its window."""
+        """Copy a record if it is the current one of an entry that has not expired."""
         log = self.log
         if not isinstance(record, _KEY_RECORDS):
             return
         row = log.index.get(record.digest)
         entry = log.entries.get(record.digest)
         if row is None or (row.segment, row.offset) != (self.number, offset):
-            return  # It stands further on, or its window ended.
+            return  # A later record replaced it, or its window ended.
         if entry is not None and entry.queued:
-            return  # A newer record is on its way, and is awaited like the copies.
-        if row.until + compaction_policy.LATE_READ_GRACE > log.clock.now():
+            return  # A newer record is queued, and is awaited like the copies.
+        if row.until + compaction_policy.LATE_READ_GRACE_S > log.clock.now():
             log.copy(row, record)
             self.copied += row.size
 
     def _copy_unreadable(self, shard: int) -> None:
-        """Write rows whose record can't be read any more as executions that ended without a result.
+        """Queue a failed record for each row whose record can no longer be read.
 
-        Copies that are not durable yet still have their rows in this segment; they are skipped.
+        Copies that are not durable yet still have their rows in this segment; these rows are skipped.
         """
         log = self.log
         copied = {queued.record.digest for queued in log.pending if queued.entry is None}
@@ -194,6 +196,6 @@
 
     def _end(self) -> None:
         log = self.log
-        if self.copied > compaction_policy.FUTILE_COPY_SHARE * self.size:
-            log.pause_until = log.clock.now() + compaction_policy.FUTILE_PAUSE
+        if self.copied > compaction_policy.MAX_COPIED_SHARE * self.size:
+            log.pause_until = log.clock.now() + compaction_policy.COMPACTION_PAUSE_S
         log.drop_segment(self.number)
--- a/valeturn/result_store/opening.py
+++ b/valeturn/result_store/opening.py
@@ -1,4 +1,4 @@
-"""Opens a store's directory, at a start and for the commands; one that can't be used is left untouched."""
+"""Opens a store's directory for the server and the commands; one that can't be used is not changed."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 KNOWN_TEXT: Final = b"valeturn kept results"  # hashed with the key: part of the format on disk
 KEY_SIZE: Final = 32  # bytes
 KEY_CHECK_SIZE: Final = 8  # bytes
-# Bytes of a segment that hold its head, however many files it tells of.
+# Bytes read from the front of a segment: enough for its head, whatever it lists.
 HEAD_READ_SIZE: Final = 65536
 
 
 def read_or_create_key(files: StoreFiles, may_create: bool) -> bytes:
-    """Return the key of the digests, and create it in a directory without a store.
+    """Return the key of the digests; create it where there is no store yet.
 
     Raises:
-        KeyFileError: The key is damaged, or missing beside a log: no key could be looked up any more.
+        KeyFileError: The key is damaged, or missing although there is a log, which is useless without it.
         NoStoreError: There is no store, and none may be created.
         OSError: The directory can't be read or written.
     """
@@ -52,12 +52,12 @@
 
 
 def key_check(key: bytes) -> bytes:
-    """Return the keyed hash of the known text, by which files tell the key they were written with."""
+    """Return the keyed hash of the known text, which identifies the key that a file was written with."""
     return blake3.blake3(KNOWN_TEXT, key=key).digest(KEY_CHECK_SIZE)
 
 
 class OpenedStore(NamedTuple):
-    """A directory as it was found."""
+    """What was found in a directory."""
 
     key: bytes
     recovered: recovery.RecoveredLog
@@ -118,9 +118,11 @@
 
 
 def _match_segments(recovered: recovery.RecoveredLog, files: StoreFiles, numbers: list[int]) -> None:
-    """Make the recovered segments those whose files exist."""
+    """Make the list of recovered segments match the files that exist."""
     for number in numbers:
-        if number not in recovered.segments:  # Before the snapshot's position, and gone from its list.
+        if (
+            number not in recovered.segments
+        ):  # It lies before the snapshot's position and is not in the snapshot's list.
             size = files.size(directory.segment_file(number))
             recovered.segments[number] = recovery.Segment(number, size)
     for number in list(recovered.segments):
--- a/valeturn/result_store/options.py
+++ b/valeturn/result_store/options.py
@@ -14,26 +14,26 @@
     """The section's values; the field names are its keys."""
 
     folder: str
-    disk: int  # bytes that all files may take
-    memory: int  # bytes for the index and what waits for the disk
-    segment: int  # bytes of a segment from which the next one is begun
-    retry: float  # seconds from a failure of the disk to the next attempt, with a new segment
+    disk: int  # maximum bytes of all files
+    memory: int  # maximum bytes of the index and of records waiting to be written
+    segment: int  # size in bytes at which the next segment is begun
+    retry: float  # seconds from a disk failure to the next attempt, which begins a new segment
     where: Mapping[str, Any] = {}  # by key, the place in the operator's file, for faults
 
     def check_memory(self, memory_mb: float) -> list[Any]:
-        """Return the faults of these values beside the memory limit of the process, in MB."""
-        free = memory_mb * 1e6 - limits.MIN_PROCESS_MEMORY
+        """Return the faults of these values given the process's memory limit in MB."""
+        free = memory_mb * 1e6 - limits.MIN_PROCESS_MEMORY_BYTES
         if self.memory <= free:
             return []
         text = (
-            f"memory leaves the process under {limits.MIN_PROCESS_MEMORY / 1e6:g} MB of its "
+            f"memory leaves the process under {limits.MIN_PROCESS_MEMORY_BYTES / 1e6:g} MB of its "
             f"limits.memory_mb = {memory_mb:g}; at most {max(0.0, free) / 1e6:g} MB fit"
         )
         return [self.where["memory"].fault("over-the-limits", text)]
 
 
 def build(values: Mapping[str, Any], where: Mapping[str, Any]) -> tuple[StoreOptions, list[Any]]:
-    """Return the options of a section's values, and the faults that they have together."""
+    """Return the options of a section's values, and the faults of their combination."""
     options = StoreOptions(**values, where=where)
     min_disk = limits.MIN_SEGMENTS * options.segment
     if options.disk >= min_disk:
@@ -43,7 +43,7 @@
 
 
 def check_deployment(built: StoreOptions, configuration: Any) -> list[Any]:  # noqa: ANN401 (the server's configuration)
-    """Return the faults of the options beside the server's configuration."""
+    """Return the faults of the options given the server's configuration."""
     return built.check_memory(configuration.memory_mb)
 
 
--- a/valeturn/result_store/records.py
+++ b/valeturn/result_store/records.py
@@ -6,7 +6,7 @@
               another segment is not accepted
     payload = msgpack arrays, one after another; the first element of each is its kind
 
-A frame is what one write and one sync made durable. Sequence numbers continue through all segments.
+One write and one sync make one frame durable. Sequence numbers continue across segments.
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 MAJOR_VERSION: Final = 1
 MINOR_VERSION: Final = 0
-_KIND_SIZE: Final = 6  # bytes that name the kind of a file
+_KIND_SIZE: Final = 6  # bytes that identify the kind of a file
 _MAGIC_SIZE: Final = 12  # bytes: the kind, two of the version, four of a CRC
 
 
 def file_magic(kind: bytes, major: int, minor: int) -> bytes:
     """Return the first 12 bytes of a file.
 
-    They have a CRC of their own, so that a damaged byte is not taken for a newer version.
+    They have a CRC of their own, so that a damaged byte is not mistaken for a newer version.
     """
     first = kind + bytes((major, minor))
     crc: int = google_crc32c.value(first)
@@ -37,7 +37,7 @@
 
 
 def format_version(data: bytes, kind: bytes) -> tuple[int, int] | None:
-    """Return a file's major and minor version, or None where its bytes don't begin as this kind's do."""
+    """Return a file's major and minor version, or None where its first bytes are not those of this kind."""
     if len(data) < _MAGIC_SIZE or data[:_KIND_SIZE] != kind:
         return None
     major = data[_KIND_SIZE]
@@ -61,7 +61,7 @@
 LOG_MAGIC: Final = file_magic(LOG_KIND, MAJOR_VERSION, MINOR_VERSION)
 FRAME_HEADER: Final = struct.Struct("<IIII")
 _FRAME_NUMBERS: Final = struct.Struct("<III")
-# Bytes of a frame: far above what may wait for the disk, so that a damaged length is recognized.
+# Bytes of a frame: far above any batch, so that a damaged length is recognized.
 MAX_FRAME_SIZE: Final = 16 << 20
 # Kinds of records on disk. Plain integers: they are compared for each record.
 HEAD: Final = 0
@@ -78,11 +78,11 @@
     """The first record of a segment."""
 
     segment: int
-    # Pairs of a segment and its number of good bytes, for the segments before this one since the last head.
+    # Pairs of a segment and its number of good bytes, for the segments since the previous head.
     segment_ends: tuple[tuple[int, int], ...]
     boot_id: str
-    key_check: bytes  # the keyed hash of a known text, which tells the directory's key
-    longest_window: float  # seconds, of all windows then configured
+    key_check: bytes  # the keyed hash of a known text, which identifies the directory's key
+    longest_window: float  # seconds, the longest window configured at that time
 
 
 class IntentRecord(NamedTuple):
@@ -91,7 +91,7 @@
     digest: bytes
     until: int  # store time in seconds at which the window ends
     execution_id: bytes  # 8 bytes
-    request_class: str
+    workload: str
 
 
 class ResultRecord(NamedTuple):
@@ -100,7 +100,7 @@
     digest: bytes
     until: int  # store time, seconds
     body: bytes
-    crc: int  # CRC32C of the body, as a record is read alone to answer a duplicate
+    crc: int  # CRC32C of the body: a duplicate is answered from this record alone, without its frame's CRC
 
 
 class FailedRecord(NamedTuple):
@@ -111,26 +111,26 @@
 
 
 class UnsentRecord(NamedTuple):
-    """The execution of a logged intent never began."""
+    """The execution of a logged intent never started."""
 
     digest: bytes
 
 
 class InDoubtRecord(NamedTuple):
-    """Records were lost: any key unknown until then may have been executed."""
+    """Records were lost: until this time any unknown key may have been executed before."""
 
     until: float  # store time, seconds
 
 
 class UnknownRecord(NamedTuple):
-    """A kind that a newer minor version writes; it is skipped."""
+    """A record of a kind that only a newer minor version knows; it is skipped."""
 
     kind: object
 
 
 KeyRecord = IntentRecord | ResultRecord | FailedRecord | UnsentRecord
 Record = SegmentHead | KeyRecord | InDoubtRecord | UnknownRecord | StoreTimestamp
-# The offset, size, kind and fields of a record: a plain tuple, as a start reads millions of them.
+# The offset, size, kind and fields of a record: a plain tuple, as recovery reads millions of them.
 RawRecord = tuple[int, int, int, tuple[Any, ...]]
 
 _RECORD_TYPES: Final[dict[int, Any]] = {
@@ -145,7 +145,7 @@
 
 
 class DecodedRecord(NamedTuple):
-    """A record and where it stands in its payload."""
+    """A record and its position in its payload."""
 
     offset: int  # bytes
     size: int  # bytes
@@ -170,7 +170,7 @@
     """Split a payload into its records.
 
     Raises:
-        ValueError: The bytes are not records. A good CRC rules this out but for a fault of the writer.
+        ValueError: The bytes are not records. With a matching CRC this is a fault of the writer.
     """
     unpacker = msgpack.Unpacker(raw=False, use_list=False, max_buffer_size=MAX_FRAME_SIZE)
     unpacker.feed(payload)
@@ -184,12 +184,12 @@
     except (msgpack.UnpackException, TypeError, IndexError, UnicodeDecodeError) as error:
         raise ValueError(f"record {len(parsed)}: {type(error).__name__}: {error}") from None
     if offset != len(payload):
-        raise ValueError("a record is cut")
+        raise ValueError("the last record is incomplete")
     return parsed
 
 
 def decode_records(payload: bytes, boot_id: str = "") -> list[DecodedRecord]:
-    """Decode all records of a payload; `boot_id` is that of the segment's head, for its timestamps.
+    """Decode all records of a payload; `boot_id` is that of the segment's head, for the timestamps.
 
     Raises:
         ValueError: The bytes are not records.
@@ -215,7 +215,7 @@
 
 
 def decode_single(data: bytes) -> Record | None:
-    """Decode a record that was read alone, or return None where its bytes are not whole."""
+    """Decode a record that was read without its frame, or return None where it is incomplete or damaged."""
     try:
         ((_, _, record),) = decode_records(data)
     except ValueError:
@@ -233,7 +233,7 @@
 
 
 class Frame(NamedTuple):
-    """A good frame as it was read."""
+    """A frame whose checks all passed."""
 
     offset: int  # of its payload in the segment, bytes
     sequence: int
@@ -242,7 +242,7 @@
 
 
 class FrameHeader(NamedTuple):
-    """The numbers in front of a payload."""
+    """The numbers before a payload."""
 
     length: int  # of the payload, bytes
     crc: int  # CRC32C of the payload
--- a/valeturn/result_store/recovery.py
+++ b/valeturn/result_store/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery: from the bytes of a log to an index, and to what is in doubt. Pure functions.
+"""Recovery: rebuilds the index, and the keys in doubt, from the bytes of a log. Pure functions.
 
-A torn tail is cut off. After damage, any unknown key may be one whose records were lost: all of them are in
-doubt for the longest window, in which the store accepts no new key.
+A torn tail is cut off. After damage, the records of any unknown key may have been lost: all unknown keys are
+in doubt for the longest window, during which the store accepts no new key.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Segment:
-    """What is held in memory of one segment."""
+    """The properties of one segment that are held in memory."""
 
     __slots__ = ("longest_until", "number", "size")
 
@@ -44,7 +44,7 @@
 
 
 class RecoveredLog:
-    """What a directory holds, as far as it can be read."""
+    """The readable content of a directory."""
 
     def __init__(self) -> None:
         self.index = Index()
@@ -55,8 +55,8 @@
         self.timestamp: StoreTimestamp | None = None
         self.longest_window = 0.0  # seconds
         self.in_doubt_until = 0.0  # store time, seconds
-        self.known_ends: dict[int, int] = {}  # segment -> its good bytes, as later heads tell
-        self.segment_ends: list[tuple[int, int]] = []  # what the next head tells of the segments before it
+        self.known_ends: dict[int, int] = {}  # segment -> its good bytes, from the heads of later segments
+        self.segment_ends: list[tuple[int, int]] = []  # for the head of the next segment
         self.damaged: list[DamagedSegment] = []
         self.notes: list[RecoveryNote] = []
         self.record_count = 0
@@ -76,13 +76,13 @@
 
     snapshot: Snapshot | None
     segments: Collection[int]  # numbers
-    first_bytes: Mapping[int, bytes]  # of each segment, enough for its head
+    first_bytes: Mapping[int, bytes]  # of each segment, enough to read its head
     read: Callable[[int], bytes]  # all bytes of a segment
-    set_aside: Collection[int] = ()  # damaged segments whose readable records were written anew
+    set_aside: Collection[int] = ()  # damaged segments whose readable records were copied
 
 
 def read_segment_heads(first_bytes: Mapping[int, bytes]) -> dict[int, records.SegmentHead]:
-    """Return the heads of those segments whose first frame is good, by number.
+    """Return by number the heads of those segments whose first frame is good.
 
     Raises:
         NewerFormatError: A segment was written by a newer version.
@@ -170,7 +170,7 @@
     for number in numbers:
         if previous is not None:
             for missing in range(previous + 1, number):
-                # One that was set aside, or never got its head, had nothing that is missing now.
+                # A segment that was set aside was copied before; one without a head held no records.
                 if missing not in source.set_aside and recovered.known_ends.get(missing) != 0:
                     recovered.mark_damaged(missing, "missing")
         previous = number
@@ -206,10 +206,10 @@
     same_boot: bool,
     boot_id: str,
 ) -> None:
-    """Apply the records of one segment and record its end; the arguments are those of `scan`."""
+    """Apply the records of one segment and record where it ends; see `scan` for the arguments."""
     if records.format_version(data, records.LOG_KIND) is None:
         if not known_end and find_next_frame(data, 0, number, recovered.sequence) is None:
-            # A file that was created and never got its head: nothing in it was ever acted on.
+            # The file was created but its head was never written: no request depended on it.
             recovered.segments[number] = Segment(number, len(data))
             recovered.segment_ends.append((number, 0))
             return
@@ -235,7 +235,7 @@
 
 
 def _apply_frame(recovered: RecoveredLog, segment: Segment, frame: records.Frame, boot_id: str) -> None:
-    """Apply the records of one frame; a gap in the sequence numbers is damage, told once a segment."""
+    """Apply the records of one frame; a gap in the sequence numbers is damage, reported once per segment."""
     expected = (recovered.sequence + 1) & 0xFFFFFFFF
     gap = recovered.sequence and frame.sequence != expected
     if gap and all(number != segment.number for number, _ in recovered.damaged):
@@ -259,23 +259,23 @@
     fields: tuple[Any, ...],
     boot_id: str = "",
 ) -> None:
-    """Apply one durable record to the index: the same on recovery and after a write.
+    """Apply one durable record to the index; used by recovery and after each write.
 
     Args:
-        recovered: What is updated.
+        recovered: The state that is updated.
         segment: The record's segment.
-        offset: Of the record in the segment, bytes.
-        size: Of the record, bytes.
+        offset: The record's offset in the segment, bytes.
+        size: The record's size, bytes.
         kind: The record's kind on disk.
         fields: The record's fields, in their order on disk.
-        boot_id: That of the segment's head, for timestamps.
+        boot_id: The boot id of the segment's head, for timestamps.
     """
     state = _STATE_OF_KIND.get(kind)
     if state is not None:
         digest = fields[0]
         until = fields[1]
         recovered.index.put(digest, segment.number, offset, until, size, state)
-        if until > segment.longest_until:  # noqa: PLR1730 (once a record; max() takes longer)
+        if until > segment.longest_until:  # noqa: PLR1730 (runs for each record; max() is slower)
             segment.longest_until = until
         if state == IN_DOUBT:
             recovered.unfinished[digest] = fields[2], fields[3]
@@ -294,15 +294,15 @@
 
 
 def unfinished_executions(recovered: RecoveredLog) -> dict[bytes, tuple[bytes, str]]:
-    """Return the digest and request class of each execution from before the start with no known end.
+    """Return by execution id the digest and workload of each execution from before the start without an end.
 
-    Entries whose row is gone or ended are removed from `recovered.unfinished`.
+    Entries whose row is missing or has an end are removed from `recovered.unfinished`.
     """
     executions = {}
-    for digest, (execution_id, request_class) in list(recovered.unfinished.items()):
+    for digest, (execution_id, workload) in list(recovered.unfinished.items()):
         row = recovered.index.get(digest)
         if row is not None and row.state == IN_DOUBT:
-            executions[execution_id] = digest, request_class
+            executions[execution_id] = digest, workload
         else:
             del recovered.unfinished[digest]
     return executions
--- a/valeturn/result_store/segment_scan.py
+++ b/valeturn/result_store/segment_scan.py
@@ -1,8 +1,8 @@
-"""Reads the frames of one segment, and tells a torn tail from damage.
+"""Reads the frames of one segment, and distinguishes a torn tail from damage.
 
-A frame that is not whole ends the log (a torn tail) only where nothing can have followed it: it reaches past
-the end of the last file, as a process that is killed leaves it, or the machine was rebooted since, which may
-leave any bytes of the last write. Everything else is damage, and the segment is read on behind it.
+An incomplete frame is a torn tail, which ends the log, only where nothing can have followed it: either it
+extends past the end of the last file, as after a killed process, or the machine was rebooted since, which may
+leave any part of the last write. Everything else is damage, and reading continues after it.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 from . import records
 
-# Sequence numbers searched for behind a bad frame: a search for one takes a millisecond in a whole segment.
+# Sequence numbers searched for after a bad frame: searching a whole segment for one takes a millisecond.
 MAX_SEQUENCE_GAP: Final = 1024
 _SEQUENCE_OFFSET: Final = 8  # of the sequence number in a frame's header, bytes
 
 
 class ScanVerdict(Enum):
-    """What a scan found of a segment."""
+    """The result of scanning a segment."""
 
     WHOLE = "whole"
-    TORN = "torn"  # the last write was cut: nothing durable is lost
+    TORN = "torn"  # the last write is incomplete: nothing durable is lost
     DAMAGED = "damaged"
 
 
@@ -30,7 +30,7 @@
 
     frames: list[records.Frame]
     verdict: ScanVerdict
-    end: int  # bytes that are good from the front
+    end: int  # number of good bytes from the front
     bad_at: int  # the offset of the first bad frame, or -1
 
 
@@ -43,7 +43,7 @@
         data: The bytes of the segment.
         segment: Its number.
         start: The offset of the first frame to read.
-        known_end: Its number of good bytes as a later segment tells it, or None for the last segment.
+        known_end: Its number of good bytes according to a later segment, or None for the last segment.
         same_boot: Whether it was written in the machine's current boot.
         sequence: The sequence number of the frame before `start`.
     """
@@ -69,7 +69,7 @@
         next_offset = find_next_frame(view, offset + 1, segment, last_sequence)
         if next_offset is None:
             break
-        verdict = ScanVerdict.DAMAGED  # A whole frame follows, so this was no write that was cut.
+        verdict = ScanVerdict.DAMAGED  # A complete frame follows, so the bad one is no torn tail.
         offset = next_offset
     if known_end is not None and len(data) < known_end and verdict is ScanVerdict.WHOLE:
         verdict = ScanVerdict.DAMAGED
@@ -78,7 +78,7 @@
 
 
 def _is_torn(view: bytes, offset: int, segment: int, same_boot: bool) -> bool:
-    """Return whether a bad frame of the last segment can be the rest of a write that was cut."""
+    """Return whether a bad frame of the last segment can come from an incomplete write."""
     if not same_boot or len(view) - offset < records.FRAME_HEADER.size:
         return True
     header = records.read_frame_header(view, offset, segment)
@@ -86,13 +86,13 @@
 
 
 def find_next_frame(view: bytes, offset: int, segment: int, sequence: int) -> int | None:
-    """Return where the next good frame begins, found by the sequence number that it must have."""
+    """Return the offset of the next good frame, which is found by its expected sequence number."""
     for number in range(sequence + 1, sequence + 1 + MAX_SEQUENCE_GAP):
-        text = (number & 0xFFFFFFFF).to_bytes(4, "little")
-        found = view.find(text, offset)
+        pattern = (number & 0xFFFFFFFF).to_bytes(4, "little")
+        found = view.find(pattern, offset)
         while found >= 0:
             start = found - _SEQUENCE_OFFSET
             if start >= offset and records.read_frame(view, start, segment) is not None:
                 return start
-            found = view.find(text, found + 1)
+            found = view.find(pattern, found + 1)
     return None
--- a/valeturn/result_store/snapshot.py
+++ b/valeturn/result_store/snapshot.py
@@ -1,12 +1,12 @@
-"""The bytes of a snapshot: the index, and the position in the log from which to read on. No I/O.
+"""The bytes of a snapshot: the index, and the position in the log at which replay begins. No I/O.
 
     file  = magic:12 head-length:4 head-crc:4 head shard... end
     head  = msgpack; see `encode_head`
     shard = number:4 length:4 crc:4 bytes
     end   = a shard numbered 0xFFFFFFFF with the count of shards as its bytes
 
-Shards are copied one after another while the store continues to work (a fuzzy snapshot). What changed
-meanwhile stands in the log behind the position recorded first, and replaying it again is idempotent.
+Shards are copied one after another while the store continues to work (a fuzzy snapshot). Changes made
+meanwhile are in the log after the position in the head, and replaying them again is idempotent.
 """
 
 from __future__ import annotations
@@ -28,23 +28,23 @@
 HEAD_HEADER: Final = struct.Struct("<II")
 SHARD_HEADER: Final = struct.Struct("<III")
 END_NUMBER: Final = 0xFFFFFFFF
-# Bytes of a head: far above what all unfinished executions take, so that a damaged length is recognized.
+# Bytes of a head: far above the size of all unfinished executions, so that a damaged length is recognized.
 MAX_HEAD_SIZE: Final = 64 << 20
 
 
 class LogPosition(NamedTuple):
-    """A place in the log."""
+    """A position in the log."""
 
     segment: int
     offset: int  # bytes
 
 
-# The execution id and the request class: a plain tuple, as one is made for each intent.
+# The execution id and the workload: a plain tuple, as one is created for each intent.
 UnfinishedExecution = tuple[bytes, str]
 
 
 class Snapshot(NamedTuple):
-    """What a snapshot holds."""
+    """The content of a snapshot."""
 
     position: LogPosition  # of the first frame that it does not cover
     sequence: int  # of the last frame that it covers
@@ -94,7 +94,7 @@
 
     Raises:
         NewerFormatError: It was written by a newer version.
-        SnapshotDamagedError: The bytes are not a whole snapshot.
+        SnapshotDamagedError: The bytes are not a complete snapshot.
     """
     if not records.check_format(data, SNAPSHOT_KIND, "the snapshot"):
         raise SnapshotDamagedError("no magic")
@@ -103,7 +103,7 @@
         position, sequence, timestamp, segments, unfinished, in_doubt_until, longest, key_check = fields
         index = _decode_shards(data, offset)
     except (struct.error, ValueError, TypeError, msgpack.UnpackException) as error:
-        raise SnapshotDamagedError(f"cut or damaged: {error}") from None
+        raise SnapshotDamagedError(f"incomplete or damaged: {error}") from None
     if timestamp is not None:
         timestamp = StoreTimestamp(timestamp[0], ClockReading(*timestamp[1:]))
     return Snapshot(
@@ -111,7 +111,7 @@
         sequence,
         timestamp,
         [SegmentView(*segment) for segment in segments],
-        {digest: (execution_id, request_class) for digest, execution_id, request_class in unfinished},
+        {digest: (execution_id, workload) for digest, execution_id, workload in unfinished},
         in_doubt_until,
         longest,
         key_check,
--- a/valeturn/result_store/store.py
+++ b/valeturn/result_store/store.py
@@ -1,7 +1,7 @@
-"""The result store as the dispatcher uses it: look-ups, intents before executions, and results after them.
+"""The store's interface to the dispatcher: key look-ups, intents before executions, results after them.
 
-All calls come from the event loop. The disk is reached only through the worker thread, whose results are
-taken with `collect`, also on the event loop, so that no state here is ever seen half changed.
+All calls come from the event loop. The disk is accessed only through the worker thread, whose results
+are handled by `collect`, also on the event loop, so that no lock is needed.
 """
 
 from __future__ import annotations
@@ -23,31 +23,31 @@
 from .timing_wheel import TimingWheel
 from .worker import RecordRead
 
-# Keys that are expired in one sweep at most: 4 ms, ten times a second.
+# Maximum keys that are expired in one sweep: 4 ms, ten times a second.
 EXPIRED_PER_SWEEP: Final = 2000
-# Shards whose rows enter the timing wheel in one sweep after a start: some thousand keys, 2 ms.
+# Shards whose rows are added to the timing wheel in one sweep after a start: some thousand keys, 2 ms.
 SHARDS_REBUILT_PER_SWEEP: Final = 4
-# Bytes of log that one key takes at most: an intent and the longest result.
+# Maximum bytes of log for one key: an intent and the longest result.
 RESERVED_SIZE: Final = MAX_RECORD_SIZE + INTENT_SIZE
 DIGEST_SIZE: Final = 16  # bytes
-MIN_RETRY_AFTER: Final = 0.01  # seconds, while the disk fails and its next attempt is due
-# Bound once: an attribute of an Enum is looked up slowly.
+MIN_RETRY_AFTER_S: Final = 0.01  # while the disk fails and its next attempt is due
+# Bound once: reading an attribute of an Enum is slow.
 _EXECUTE: Final = LookupOutcome.EXECUTE
 
 
 class Lookup:
-    """What the store knows of a request's key."""
+    """The result of looking up a request's key."""
 
     __slots__ = ("digest", "entry", "outcome")
 
     def __init__(self, outcome: LookupOutcome, digest: bytes, entry: LiveEntry | None = None) -> None:
         self.outcome = outcome
         self.digest = digest
-        self.entry = entry  # the entry whose execution is under way, where there is one
+        self.entry = entry  # the entry whose execution is in progress, where there is one
 
 
 class ResultStore(SegmentedLog):
-    """The results of idempotent requests, by key, over restarts of the server."""
+    """The results of idempotent requests, by key, across restarts of the server."""
 
     def __init__(self, environment: StoreEnvironment, settings: StoreSettings) -> None:
         """Open the directory.
@@ -60,7 +60,7 @@
         self.reservations: set[int] = set()  # ids of admitted requests whose intent is not logged yet
         self.events: list[StoreEvent] = []
         self.wheel = TimingWheel(self.clock.now())
-        self.rebuilt_shards = 0  # whose rows are in the wheel
+        self.rebuilt_shards = 0  # number of shards whose rows are in the wheel
         self._worker_handlers[RecordRead] = self._on_record_read
         self._effects: dict[EntryEffect, Callable[[LiveEntry], None]] = {
             EntryEffect.WRITE_INTENT: self._write_intent,
@@ -73,9 +73,9 @@
 
     # Keys and look-ups
 
-    def key_digest(self, request_class: str, idempotency_key: str) -> bytes:
-        """Return the keyed hash of a request class and its key; keys themselves never reach the disk."""
-        name = request_class.encode()
+    def key_digest(self, workload: str, idempotency_key: str) -> bytes:
+        """Return the keyed hash of a workload's name and an idempotency key; keys are never written."""
+        name = workload.encode()
         text = len(name).to_bytes(2, "little") + name + idempotency_key.encode()
         return blake3.blake3(text, key=self.key).digest(DIGEST_SIZE)
 
@@ -98,7 +98,7 @@
         unsettled = len(self.entries) + len(self.reservations)
         disk_retry_in = 0.0
         if self.health != HEALTHY:
-            disk_retry_in = max(MIN_RETRY_AFTER, self.retry_at - now)
+            disk_retry_in = max(MIN_RETRY_AFTER_S, self.retry_at - now)
         return compaction_policy.retry_after(
             compaction_policy.CapacityView(
                 keys=self.index.count + unsettled,
@@ -115,11 +115,11 @@
         )
 
     def reserve(self, request_id: int) -> None:
-        """Reserve capacity for an admitted request, until its intent is logged or it is released."""
+        """Reserve capacity for an admitted request until its intent is logged or `release` is called."""
         self.reservations.add(request_id)
 
     def release(self, request_id: int) -> None:
-        """Release the reservation of a request that is over and was never executed."""
+        """Release the reservation of a request that ended without being executed."""
         self.reservations.discard(request_id)
 
     # Executions
@@ -134,7 +134,7 @@
             self._effects[effect](entry)
 
     def log_intent(
-        self, request_id: int, digest: bytes, window: float, execution_id: bytes, request_class: str
+        self, request_id: int, digest: bytes, window: float, execution_id: bytes, workload: str
     ) -> None:
         """Log that a request is about to be executed; it must not be sent before INTENT_DURABLE is reported.
 
@@ -143,11 +143,11 @@
             digest: The digest of its key.
             window: The deduplication window in seconds from now.
             execution_id: The execution's id, 8 bytes.
-            request_class: The name of the request's class.
+            workload: The name of the request's workload.
         """
         self.release(request_id)
         until = math.ceil(self.clock.now() + window)
-        entry = self.entries[digest] = LiveEntry(request_id, digest, until, execution_id, request_class)
+        entry = self.entries[digest] = LiveEntry(request_id, digest, until, execution_id, workload)
         self._transition(entry, entry_states.START)
 
     def end_execution(
@@ -155,7 +155,7 @@
     ) -> None:
         """Log the end of an execution.
 
-        The end of one whose window is over and whose key was executed again since is ignored.
+        It is ignored if the execution's window is over and its key was executed again since.
 
         Args:
             request_id: The request whose intent was logged.
@@ -170,7 +170,7 @@
         if entry_input == entry_states.SUCCEEDED:
             assert body is not None
             if self.waiting() + len(body) > self.limits.waiting:
-                # The disk is too far behind: the key is recorded as ended, without its result.
+                # Too much waits to be written: the key is recorded as ended, without its result.
                 self.count("store.results_lost")
                 entry_input = entry_states.ENDED_WITHOUT_RESULT
             else:
@@ -186,23 +186,23 @@
         known = self.unfinished.pop(execution_id, None)
         if known is None:
             return False
-        digest, request_class = known
+        digest, workload = known
         row = self.index.get(digest)
         if row is None or row.state != IN_DOUBT or digest in self.entries:
             return False
-        entry = self.entries[digest] = LiveEntry(0, digest, row.until, execution_id, request_class)
+        entry = self.entries[digest] = LiveEntry(0, digest, row.until, execution_id, workload)
         entry.state = IN_DOUBT
         self.count("store.doubts_resolved")
         self.end_execution(0, digest, entry_input, body)
         return True
 
-    def unfinished_class(self, execution_id: bytes) -> str | None:
-        """Return the request class of an unfinished execution from before the start, or None."""
+    def unfinished_workload(self, execution_id: bytes) -> str | None:
+        """Return the workload of an unfinished execution from before the start, or None."""
         known = self.unfinished.get(execution_id)
         return None if known is None else known[1]
 
     def _write_intent(self, entry: LiveEntry) -> None:
-        record = records.IntentRecord(entry.digest, entry.until, entry.execution_id, entry.request_class)
+        record = records.IntentRecord(entry.digest, entry.until, entry.execution_id, entry.workload)
         self.queue(record, entry)
 
     def _write_result(self, entry: LiveEntry) -> None:
@@ -222,7 +222,7 @@
         self.events.append(StoreEvent(INTENT_LOST, entry.request_id, None))
 
     def fetch_result(self, request_id: int, lookup: Lookup) -> bytes | None:
-        """Return the stored result for a duplicate, or None where it comes later as a RESULT_READ event."""
+        """Return the stored result for a duplicate, or None where it follows later as a RESULT_READ event."""
         entry = lookup.entry if lookup.entry is not None else self.entries.get(lookup.digest)
         if entry is not None and entry.body is not None:
             return entry.body
@@ -234,10 +234,10 @@
             self.worker.submit(request, self.writer.read_record, row.segment, row.offset, row.size)
         return None
 
-    # What the worker thread has done
+    # Results of the worker thread
 
     def collect(self) -> list[StoreEvent]:
-        """Handle what the worker thread has done, and return the events since the last call."""
+        """Handle the results of the worker thread, and return the events since the last call."""
         for request, result in self.worker.collect():
             self._worker_handlers[type(request)](request, result)
         events = self.events
@@ -267,21 +267,21 @@
 
     def _on_not_durable(self, batch: list[QueuedRecord]) -> None:
         """Reject pending intents, as requests can't wait for the disk, and queue all other records again."""
-        again = []
+        requeued = []
         for queued in batch + self.pending:
             entry = queued.entry
             if entry is None or not isinstance(queued.record, records.IntentRecord):
-                again.append(queued)
+                requeued.append(queued)
                 continue
             entry.queued -= 1
             if entry.state == INTENT_PENDING:
                 self._transition(entry, entry_states.INTENT_LOST)
             if entry.queued == 0 and entry.state == ABSENT:
                 self._forget(entry)
-                # The intent may be on the disk whole: recorded as unsent once the disk accepts writes.
-                again.append(QueuedRecord(records.UnsentRecord(entry.digest), None))
-        self.pending = again
-        self.pending_bytes = sum(len(queued.data) for queued in again)
+                # The whole intent may be on the disk: record it as unsent once the disk accepts writes.
+                requeued.append(QueuedRecord(records.UnsentRecord(entry.digest), None))
+        self.pending = requeued
+        self.pending_bytes = sum(len(queued.data) for queued in requeued)
 
     def _on_record_read(self, request: RecordRead, result: Any) -> None:  # noqa: ANN401 (a record or an error)
         if isinstance(result, OSError):
@@ -293,7 +293,7 @@
         row = self.index.get(request.digest)
         moved = row is not None and row.state == STORED and result is not None
         if row is not None and moved and request.digest not in self.entries:
-            # Compaction moved the record between the request and the reading.
+            # Compaction moved the record after the read was requested.
             self.worker.submit(request, self.writer.read_record, row.segment, row.offset, row.size)
             return
         self.count("store.unreadable_records")
@@ -302,9 +302,9 @@
     # In the background
 
     def maintain(self) -> None:
-        """Expire keys, retry a failed disk and step the background job; called ten times a second."""
+        """Expire keys, retry a failed disk and advance the background job; called ten times a second."""
         now = self.clock.now()
-        for digest in self.wheel.pop_due(now - compaction_policy.LATE_READ_GRACE, EXPIRED_PER_SWEEP):
+        for digest in self.wheel.pop_due(now - compaction_policy.LATE_READ_GRACE_S, EXPIRED_PER_SWEEP):
             self._expire(digest, now)
         for _ in range(SHARDS_REBUILT_PER_SWEEP):
             if self.rebuilt_shards < len(self.index.shards):
@@ -317,15 +317,15 @@
         row = self.index.get(digest)
         if row is None or digest in self.entries:
             return
-        if row.until + compaction_policy.LATE_READ_GRACE > now:  # Its window was extended.
+        if row.until + compaction_policy.LATE_READ_GRACE_S > now:  # Its window was extended.
             self.wheel.add(digest, row.until)
         elif entry_states.transition(row.state, entry_states.WINDOW_ENDED) is not None:
             self.index.remove(digest)
             self.recovered.unfinished.pop(digest, None)
             self.count("store.keys_expired")
 
-    def figures(self) -> dict[str, Any]:
-        """Return figures for the counters and for `status`, whose answer has these keys."""
+    def status_fields(self) -> dict[str, Any]:
+        """Return the fields that are reported as gauges, in `status` and in log events."""
         return {
             "keys": self.index.count,
             "live": len(self.entries),
--- a/valeturn/result_store/window_clock.py
+++ b/valeturn/result_store/window_clock.py
@@ -1,9 +1,9 @@
-"""Store time: wall time that no step of the wall clock moves; deduplication windows are counted in it.
+"""Store time: a clock for deduplication windows that steps of the wall clock don't affect.
 
-While the process lives, and over a restart within one boot of the machine, store time follows the boot clock,
-which runs through suspends and is never set. Over a reboot only the wall clock can tell how long it took: a
-wall clock that has gone back counts as no time at all, so that entries stay too long rather than too short. A
-wall clock that was set ahead during a reboot can't be told from a long reboot; the operators' page says so.
+While the process runs, and across a restart within one boot, store time follows the machine's boot clock,
+which continues during suspends and is never set. Across a reboot only the wall clock shows how long it took.
+One that went back counts as no time at all, so that entries are kept too long rather than too briefly. One
+that was set ahead during a reboot can't be distinguished from a long reboot; the operators' page says so.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
     wall: float  # Unix time, seconds
     boot: float  # seconds since the machine was booted
-    boot_id: str  # differs after every reboot; empty where the system does not tell
+    boot_id: str  # differs after every reboot; empty where the system does not provide it
 
 
 class StoreTimestamp(NamedTuple):
@@ -34,7 +34,7 @@
 
 
 def read_boot_id() -> str:
-    """Return the boot's id, or "" where the system does not tell: each start then counts as a reboot."""
+    """Return the boot's id, or "" where the system provides none: each start then counts as a reboot."""
     try:
         with open("/proc/sys/kernel/random/boot_id", encoding="ascii") as file:
             return file.read().strip()
@@ -48,7 +48,7 @@
 
 
 def resume(timestamp: StoreTimestamp | None, reading: ClockReading) -> float:
-    """Return store time now in seconds, from the last stored timestamp; wall time where there is none."""
+    """Return the current store time in seconds, from the last timestamp; wall time where there is none."""
     if timestamp is None:
         return reading.wall
     if same_boot(timestamp.reading, reading):
@@ -57,7 +57,7 @@
 
 
 class WindowClock:
-    """Tells store time in seconds; it never goes back below the time of its start."""
+    """Provides store time in seconds; it never goes back below its value at the start."""
 
     def __init__(self, timestamp: StoreTimestamp | None, read: Callable[[], ClockReading]) -> None:
         self.read = read
--- a/valeturn/result_store/worker.py
+++ b/valeturn/result_store/worker.py
@@ -1,4 +1,4 @@
-"""What the store asks of its worker thread: the kinds of jobs, and the thread's interface."""
+"""The interface of the store's worker thread, and the tags of its jobs."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class Worker(Protocol):
-    """Runs jobs in their order, beside the event loop; see transport/worker_thread.py."""
+    """Runs jobs in order, outside the event loop; see transport/worker_thread.py."""
 
-    busy: bool  # whether jobs end later than they are asked for
+    busy: bool  # whether jobs run asynchronously, so that the caller has to wait for their results
 
-    def submit(self, what: object, function: Callable[..., Any], *args: Any) -> None:  # noqa: ANN401
-        """Queue a call; `what` comes back with its result."""
+    def submit(self, tag: object, function: Callable[..., Any], *args: Any) -> None:  # noqa: ANN401
+        """Queue a call; `collect` returns its result together with `tag`."""
 
     def collect(self) -> list[tuple[Any, Any]]:
-        """Return what was asked for and its result, or the OSError, for all jobs that ended."""
+        """Return the tag and the result, or the OSError, of all jobs that ended."""
 
-    def finish(self, patience: float) -> bool:
-        """Wait up to `patience` seconds for all jobs; return whether they ended."""
+    def finish(self, timeout_s: float) -> bool:
+        """Wait up to `timeout_s` seconds for all jobs; return whether they ended."""
 
 
 class SegmentBegun(NamedTuple):
@@ -39,7 +39,7 @@
 
 
 class JobStepDone(NamedTuple):
-    """A step of a background job, or of the upkeep of files where `job` is None."""
+    """A step of a background job ended, or where `job` is None, the removal or renaming of a file."""
 
     step: str
     job: LogJob | None
--- a/valeturn/server/components/cluster.py
+++ b/valeturn/server/components/cluster.py
@@ -24,7 +24,11 @@
     def __init__(self, server: Server, options: Any) -> None:  # noqa: ANN401 - as the base class
         super().__init__(server, options)
         self.node = self._open_node()
-        fields = {"cluster": options.name, "listen": options.listen, "incarnation": self.node.vote_life}
+        fields = {
+            "cluster": options.name,
+            "listen": options.listen,
+            "incarnation": self.node.vote_incarnation,
+        }
         server.log("cluster_opened", fields)
 
     def _open_node(self) -> ClusterNode:
@@ -57,7 +61,7 @@
 
     def gauges(self) -> dict[str, Any]:
         """Return the node's figures."""
-        return {"fleet_" + name: value for name, value in self.node.figures().items()}
+        return {"fleet_" + name: value for name, value in self.node.gauge_values().items()}
 
     def begin_shutdown(self) -> None:
         """Transfer leadership, where this server has it."""
--- a/valeturn/server/components/result_store.py
+++ b/valeturn/server/components/result_store.py
@@ -31,7 +31,7 @@
             self.store = self._open_store()
         except (StoreRefusedError, OSError) as error:
             raise ConfigurationError("store", f"{options.folder}: {error}") from None
-        fields = {**self.store.figures(), "records_read": self.store.recovered.record_count}
+        fields = {**self.store.status_fields(), "records_read": self.store.recovered.record_count}
         server.log("store_opened", fields)
 
     def _open_store(self) -> ResultStore:
@@ -67,9 +67,9 @@
 
     def gauges(self) -> dict[str, Any]:
         """Return the store's figures."""
-        return {"kept_" + name: value for name, value in self.store.figures().items()}
+        return {"kept_" + name: value for name, value in self.store.status_fields().items()}
 
     def close(self, patience: float) -> None:
         """Write what waits for the disk."""
         complete = self.store.close(min(CLOSING, patience))
-        self.server.log("store_closed", {"whole": complete, **self.store.figures()})
+        self.server.log("store_closed", {"whole": complete, **self.store.status_fields()})
