--- a/valeturn/dispatch/deduplication.py
+++ b/valeturn/dispatch/deduplication.py
@@ -258,7 +258,7 @@
     def unfinished_workload(self, call_id):
         """Return the name of the workload of an unfinished execution from before a restart, or None."""
         execution_id = self.execution_id(call_id)
-        return None if execution_id is None else self.result_store.unfinished_class(execution_id)
+        return None if execution_id is None else self.result_store.unfinished_workload(execution_id)
 
     @staticmethod
     def execution_id(call_id):
--- a/valeturn/dispatch/degradation_monitor.py
+++ b/valeturn/dispatch/degradation_monitor.py
@@ -51,7 +51,7 @@
         events = self.report_changes(
             now, self.controller.step(now, readings, self.signals.baselines, cold), readings
         )
-        exempt_share = self.controller.spared_ratio(now)
+        exempt_share = self.controller.exempt_ratio(now)
         if exempt_share != self.exempt_share:
             self.count("levels.trials") if not self.exempt_share else None
             self.exempt_share = exempt_share
