--- a/tests/cluster/test_bootstrap.py
+++ b/tests/cluster/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""How a cluster begins, once: by all named voters or by none."""
+"""The one-time bootstrap of a cluster: by all named voters or by none."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 def play_bootstrap(seed):
-    """Let three voters announce and restart at random; return them, and all sets that were completed."""
+    """Let three voters announce and restart at random; return them and all completed sets."""
     random_source = SeededRandom(seed * 977 + 3)
     for _ in range(4):
         random_source.random()
@@ -18,7 +18,7 @@
     completed = set()
     for _ in range(60):
         name = NAMES[int(3 * random_source.random())]
-        # A voter that has completed the bootstrap has durable state from then on.
+        # A voter that has completed the bootstrap has durable state and does not begin again.
         if random_source.random() < 0.04 and voters[name].completed is None:
             incarnations[name] += 1
             voters[name] = Bootstrap(name, incarnations[name], 0, NAMES)
@@ -59,10 +59,10 @@
     voter = Bootstrap("a", 1, 0, ["a", "b"])
     assert voter.receive("b", record, proposal, True) is None
     assert voter.completed is None
-    assert voter.proposal() is None, "its record is not taken"
+    assert voter.proposal() is None, "its record is not accepted"
 
 
-def test_announcements_of_servers_that_are_no_named_voters_are_ignored():
+def test_announcements_of_servers_that_are_not_named_voters_are_ignored():
     voter = Bootstrap("a", 1, 0, ["a", "b"])
     assert voter.receive("z", ["z", 1, 0], None, False) is None
     assert voter.proposal() is None
--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -1,4 +1,4 @@
-"""Fencing tokens in the model checker, and what is loaded where a server is in no cluster."""
+"""Fencing tokens in the model checker, and the modules loaded by a server without a cluster."""
 
 import pathlib
 import subprocess
@@ -13,14 +13,14 @@
 ROOT = pathlib.Path(__file__).parents[2]
 
 
-class TakesAll(ex.Sink):
+class AcceptsAll(ex.Sink):
     @staticmethod
     def takes(seen, fence):
         return True
 
 
 def overtaken(make=RaftNode):
-    """a had an effect that flies still; b leads now and holds the duty."""
+    """Return a world in which an effect of a is still in flight, while b leads and holds the task."""
     world = ex.led(make)
 
     def settle(world, but=()):
@@ -46,16 +46,16 @@
     return world
 
 
-def test_an_effect_that_was_overtaken_is_refused_and_a_sink_that_takes_all_is_found():
+def test_late_effect_is_rejected_and_a_sink_that_accepts_all_is_found():
     bounds = ex.Bounds(states=3_000, flying=12, term=2, effects=1, steps=1)
-    found = ex.explore(bounds, start=overtaken(), sink=TakesAll)
+    found = ex.explore(bounds, start=overtaken(), sink=AcceptsAll)
     assert found.broken == "no effect after a higher fence was seen", found
-    assert ex.replay(found.story, start=overtaken(), sink=TakesAll) == found.broken
+    assert ex.replay(found.story, start=overtaken(), sink=AcceptsAll) == found.broken
     assert ex.replay(found.story, start=overtaken()) is None
     assert ex.explore(bounds, start=overtaken()).broken is None
 
 
-def test_numbers_that_do_not_rise_are_found(monkeypatch):
+def test_fencing_tokens_that_do_not_rise_are_found(monkeypatch):
     plain_apply = ClusterState.apply
     monkeypatch.setattr(
         ClusterState,
@@ -65,7 +65,7 @@
         ),
     )
     with pytest.raises(AssertionError):
-        overtaken()  # b is granted what a had
+        overtaken()  # b is granted a's token
     world, broken = ex.led(), None
     for _ in range(2):
         world, broken = ex.act(world, ("propose", "a", ""))
@@ -74,7 +74,7 @@
     assert broken == "one holder of a fence"
 
 
-def test_nothing_of_a_fleet_is_loaded_without_its_section(tmp_path):
+def test_no_cluster_module_is_loaded_without_its_section(tmp_path):
     code = (
         "import sys; from valeturn.server import commands, components, server; "
         "print([name for name in sys.modules if name.startswith('valeturn.cluster')])"
--- a/tests/cluster/test_cluster_options.py
+++ b/tests/cluster/test_cluster_options.py
@@ -10,7 +10,7 @@
 from valeturn.server import components
 
 ROOT = pathlib.Path(__file__).parents[2]
-SHAPES = [module.SCHEMA for module in components.options_modules().values()]
+SCHEMAS = [module.SCHEMA for module in components.options_modules().values()]
 GOOD = """[fleet]
 name = lab
 listen = 127.0.0.1:7700
@@ -40,7 +40,7 @@
     ],
 )
 def test_faults_of_cluster_and_task_sections_have_line_and_rule(text, rule, line):
-    options, faults = schema.check(text, "v.ini", SHAPES)
+    options, faults = schema.check(text, "v.ini", SCHEMAS)
     assert options is None and [(one.rule, one.line) for one in faults] == [(rule, line)], faults
 
 
@@ -58,5 +58,5 @@
     assert rules(GOOD.replace("127.0.0.1:7700", "127.0.0.1:4100")) == ["gateways-address"]
     assert rules(GOOD + duty) == ["patience-past-lease"]
     assert rules(duty) == ["no-fleet"]
-    two = "[duty {}]\ndo = share-calls\ncap = 5\n"
-    assert rules(GOOD + two.format("a") + two.format("b")) == ["doubled-duty"]
+    sharing_task = "[duty {}]\ndo = share-calls\ncap = 5\n"
+    assert rules(GOOD + sharing_task.format("a") + sharing_task.format("b")) == ["doubled-duty"]
--- a/tests/cluster/test_codec.py
+++ b/tests/cluster/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages between servers as bytes: what is decoded, and what fails."""
+"""The encoding of messages between servers: decoding and its failures."""
 
 import pytest
 from hypothesis import given, settings
@@ -13,7 +13,7 @@
 
 
 def reasons(results):
-    """Return why decoding failed, by a list of results that are nothing but failures."""
+    """Return the reasons of results that are all failures."""
     assert all(type(result) is DecodeError for result in results)
     return [result.reason for result in results]
 
@@ -55,6 +55,6 @@
     assert raised.value.size > MESSAGE
 
 
-def test_sender_s_generation_is_no_boolean():
+def test_boolean_generation_of_a_sender_is_malformed():
     (result,) = codec.Decoder("lab").feed(codec.encode("lab", "a", True, "ping", []))
     assert isinstance(result, codec.DecodeError) and result.reason is codec.DecodeFailure.MALFORMED
--- a/tests/cluster/test_fencing.py
+++ b/tests/cluster/test_fencing.py
@@ -1,4 +1,4 @@
-"""Fencing tokens: what a lower token than the highest one seen may not do."""
+"""Fencing tokens: tokens lower than the highest one received are rejected."""
 
 import os
 import pathlib
--- a/tests/cluster/test_member_table.py
+++ b/tests/cluster/test_member_table.py
@@ -1,4 +1,4 @@
-"""The transitions of a member's state, beside a plain reading of the papers."""
+"""The transitions of a member's state, compared with the rules of the papers."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 
 def expected_record(known, stated):
-    """Return a member's (generation, incarnation, state) after an update, from the papers' orders alone."""
+    """Return a member's (generation, incarnation, state) after an update by the papers' precedence."""
     if known is None:
         return stated
     rank = {ALIVE: 0, SUSPECTED: 1, DEAD: 2, LEFT: 3}
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -16,7 +16,7 @@
 # ---- one server
 
 
-def test_server_refutes_a_suspicion_of_itself_and_trusts_its_health_less():
+def test_server_refutes_a_suspicion_of_itself_and_raises_its_health_score():
     membership = make_membership()
     gossip_to(membership, wire_update("b", ALIVE), wire_update("a", SUSPECTED, suspected_by="b"))
     assert (membership.local.incarnation, membership.health.score) == (1, 1)
@@ -39,7 +39,7 @@
     gossip_to(membership, older, sender="c", generation=5)
     assert membership.get("b") == before
     gossip_to(membership, wire_update("a", DEAD, generation=700), sender="c")
-    assert membership.local.generation == 701, "it was started before with a larger number"
+    assert membership.local.generation == 701, "an earlier start had a larger generation"
 
 
 def test_another_server_of_the_same_name_is_reported_as_a_conflict():
@@ -102,7 +102,7 @@
 
 
 def effects_on(network, name):
-    """Return the effects that anybody logged about a member."""
+    """Return the effects that any server logged about a member."""
     return {row[2] for row in network.log if row[3] == name}
 
 
@@ -141,7 +141,7 @@
         remaining = sorted({node.name for node in network.nodes} - apart)
         assert network.nodes[0].membership.alive() == remaining
         network.run(network.now + 600)
-        # The smaller side trusts its own health less, and is slow.
+        # The smaller side has a higher local health multiplier, which lengthens its time-outs.
         assert network.nodes[3].membership.alive() == sorted(apart)
         assert not set(network.nodes[0].membership.members) & apart, "forgotten by now"
     network.cut = lambda sender, receiver: False
@@ -164,7 +164,7 @@
     assert network.until_agreed(60.0) is not None
 
 
-def test_fast_and_stepping_clocks_declare_nobody_dead_for_long():
+def test_fast_and_stepping_clocks_declare_no_member_dead_for_long():
     network = joined_network(7, 5)
     network.nodes[4].rate = 1.2
     network.nodes[4].offset = -0.2 * network.now
@@ -175,7 +175,7 @@
     assert network.until_agreed(90.0) is not None
 
 
-def test_messages_a_minute_old_change_nobodys_state():
+def test_messages_a_minute_old_change_no_state():
     network = joined_network(6, 6)
     old = network.nodes[2].membership.local.to_wire()
     network.kill(network.nodes[2])
@@ -199,7 +199,7 @@
     assert network.agreed()
 
 
-def test_the_same_seed_plays_the_same():
+def test_the_same_seed_gives_the_same_run():
     logs = []
     for _ in range(2):
         network = joined_network(6, 8, loss=0.1)
--- a/tests/cluster/test_peer_connections.py
+++ b/tests/cluster/test_peer_connections.py
@@ -1,4 +1,4 @@
-"""Connections between servers: what is rejected and counted, and how many messages wait."""
+"""Connections between servers: rejections, counters and queue limits."""
 
 import socket
 
@@ -36,7 +36,7 @@
         self.counters[name] = self.counters.get(name, 0) + 1
 
     def play(self, scenario):
-        """Run a scenario, as a task, to its end."""
+        """Run a scenario as a task until it ends."""
 
         def task():
             scenario()
@@ -55,7 +55,7 @@
         pair.a.send(B, "ping", [])
         pair.b.send(A, "ping", [])
         pair.scheduler.sleep(0.2)
-        for _ in range(300):  # more than may wait at once, without a pause: the oldest are dropped
+        for _ in range(300):  # more than the queue's limit without a pause: the oldest are dropped
             pair.a.send(B, "news", ["x" * 9000])
         pair.scheduler.sleep(0.3)
 
@@ -108,7 +108,7 @@
 
 
 def test_every_message_that_is_not_delivered_is_counted_as_dropped():
-    """What waited for a peer that could not be reached was thrown away uncounted."""
+    """Guards against messages to an unreachable peer being dropped without being counted."""
     pair = Pair()
 
     def scenario():
@@ -124,7 +124,7 @@
 
 
 def test_messages_that_wait_without_a_connection_are_dropped_in_time_and_their_peer_forgotten(monkeypatch):
-    """They stayed until something else was sent there, and with them the peer's place in a full table."""
+    """Guards against such messages, and their peer's table entry, staying until the next send to it."""
     monkeypatch.setattr(peer_connections, "MAX_QUEUE_TIME", 0.1)
     monkeypatch.setattr(peer_connections, "IDLE_TIMEOUT", 0.2)
     pair = Pair()
--- a/tests/cluster/test_process_guard.py
+++ b/tests/cluster/test_process_guard.py
@@ -35,11 +35,11 @@
 
 
 def test_guard_kills_command_that_ignores_term_before_lease_ends():
-    began = time.monotonic()
+    started_at = time.monotonic()
     result = run_guard("trap '' TERM; while :; do sleep 0.05; done", [lease_until(0.8)])
     assert result["why"] == "lease over"
     assert result["code"] == -signal.SIGKILL
-    assert time.monotonic() - began < 1.2
+    assert time.monotonic() - started_at < 1.2
 
 
 def test_guard_lets_command_end_within_grace_period_when_stopped():
@@ -51,11 +51,11 @@
 
 
 def test_guard_ends_processes_that_command_left_in_session_of_their_own(tmp_path):
-    mark = tmp_path / "mark"
-    command = f"setsid sh -c 'while :; do date > {mark}; sleep 0.05; done' & sleep 0.3"
+    heartbeat_file = tmp_path / "mark"
+    command = f"setsid sh -c 'while :; do date > {heartbeat_file}; sleep 0.05; done' & sleep 0.3"
     result = run_guard(command, [lease_until(9)])
     assert result["code"] == 0
-    assert mark.exists()
-    mark.unlink()
+    assert heartbeat_file.exists()
+    heartbeat_file.unlink()
     time.sleep(0.3)
-    assert not mark.exists()
+    assert not heartbeat_file.exists()
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -1,4 +1,4 @@
-"""The split of a dependency's limit: its sum holds, and faults that are planted in it are found."""
+"""The split of a dependency's limit: the sum stays below it, and deliberate faults are found."""
 
 import pytest
 
@@ -33,7 +33,7 @@
 
 
 class KeepsReductionTooShort(QuotaClient):
-    """Goes back to the guaranteed quota while others still use the difference."""
+    """Returns to the guaranteed quota while others still use the difference."""
 
     def accept(self, now, grant):
         accepted = super().accept(now, grant)
@@ -43,7 +43,7 @@
 
 
 class AcceptsOlderGrants(QuotaClient):
-    """Accepts what was overtaken on its way."""
+    """Accepts grants older than the current one."""
 
     def accept(self, now, grant):
         self.current_grant = self.current_grant._replace(number=-1)
--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -18,9 +18,14 @@
 @pytest.mark.parametrize("count, seed", [(3, n) for n in range(1, 9)] + [(5, n) for n in range(1, 9)])
 def test_random_faults_never_give_two_leases_at_once_and_never_change_committed_entries(count, seed):
     storm = play(count, 60, seed)
-    w = storm.witness
-    assert not w.broken(), (w.at_once[:2], w.forked[:2], w.two_in_a_term[:2], w.fences_fell[:2])
-    assert len(w.terms) > 3 and w.facts, "there were faults"
+    witness = storm.witness
+    assert not witness.broken(), (
+        witness.at_once[:2],
+        witness.forked[:2],
+        witness.two_in_a_term[:2],
+        witness.fences_fell[:2],
+    )
+    assert len(witness.terms) > 3 and witness.facts, "there were faults"
     assert storm.leader() is not None and not storm.wiped, "and it ends with a leader"
 
 
@@ -33,7 +38,7 @@
 
 
 class LeaseFromTheAcknowledgement(RaftNode):
-    """Counts the lease from when an acknowledgement came, however old its round was."""
+    """Starts the lease when an acknowledgement arrives, however old its round is."""
 
     def on_append_response(self, now, sender, message):
         answered = self.rounds.get(message.round_number)
@@ -54,7 +59,7 @@
 
 @pytest.mark.parametrize("planted", PLANTED)
 def test_history_checker_finds_each_planted_fault(planted, monkeypatch):
-    """All election time-outs are equal here and a third of the messages late or lost, so that votes split."""
+    """Here all election time-outs are equal and a third of the messages late or lost, so that votes split."""
     monkeypatch.setattr(raft, "ELECTION_SPREAD", 0.0)
     for seed in range(1, 201):
         if play(3 + 2 * (seed % 2), 40, seed, owner=planted, loss=0.1, late=0.25).witness.broken():
@@ -68,7 +73,7 @@
         assert not play(3 + 2 * (seed % 2), 40, seed, loss=0.1, late=0.25).witness.broken()
 
 
-def calm(count=3, seed=1):
+def stable_cluster(count=3, seed=1):
     storm = Storm(count, seed, loss=0.0, doubled=0.0, late=0.0)
     storm.run(5 * LEASE)
     assert storm.leader() is not None
@@ -76,14 +81,14 @@
 
 
 def test_paused_leader_does_not_act_when_it_resumes_and_follows_its_successor():
-    storm = calm()
+    storm = stable_cluster()
     old = storm.leader()
     old.stopped = True
     storm.run(storm.now + 4 * LEASE)
     new = storm.leader()
     assert new is not None and new is not old
     old.stopped = False
-    assert not old.owner.holds_lease(old.clock()), "before it has read a single message"
+    assert not old.owner.holds_lease(old.clock()), "before it has received any message"
     assert not old.owner.propose(old.clock(), ("grant", "d", old.name, 1))
     storm.go_on(old)
     storm.run(storm.now + LEASE)
@@ -92,7 +97,7 @@
 
 @pytest.mark.parametrize("hears", [True, False])
 def test_one_way_partition_of_the_leader_leads_to_another_leader(hears):
-    storm = calm()
+    storm = stable_cluster()
     old = storm.leader()
     others = [name for name in storm.voters if name != old.name]
     storm.cuts = {(name, old.name) if not hears else (old.name, name) for name in others}
@@ -102,7 +107,7 @@
 
 
 def test_no_leader_without_a_majority_until_the_partition_heals():
-    storm = calm(4)
+    storm = stable_cluster(4)
     names = sorted(storm.voters)
     storm.cuts = {(a, b) for a in names for b in names if (a in names[:2]) != (b in names[:2])}
     storm.run(storm.now + 10 * LEASE)
@@ -113,18 +118,18 @@
 
 
 def test_pre_vote_keeps_a_partitioned_voter_from_deposing_the_leader():
-    storm = calm()
+    storm = stable_cluster()
     leader = storm.leader()
     term, away = leader.owner.durable.term, next(n for n in storm.voters if n != leader.name)
     storm.cuts = {(a, b) for a in storm.voters for b in storm.voters if away in (a, b)}
     storm.run(storm.now + 20 * LEASE)
     storm.cuts = set()
     storm.run(storm.now + 5 * LEASE)
-    assert storm.leader() is leader and leader.owner.durable.term == term, "it only asked for pre-votes"
+    assert storm.leader() is leader and leader.owner.durable.term == term, "it only requested pre-votes"
 
 
 def test_voter_without_durable_state_votes_only_after_removal_and_addition():
-    storm = calm()
+    storm = stable_cluster()
     leader = storm.leader()
     lost = next(v for v in storm.voters.values() if v is not leader)
     lost.up = False
@@ -141,7 +146,7 @@
 
 
 def test_voters_without_durable_state_never_replace_a_lost_majority():
-    storm = calm()
+    storm = stable_cluster()
     survivor, *rest = storm.voters.values()
     for voter in rest:
         voter.up = False
@@ -153,27 +158,27 @@
     assert storm.leader() is None and not storm.witness.broken()
 
 
-def test_leadership_transfer_is_quick_and_the_old_leader_acts_no_more():
-    storm = calm()
+def test_leadership_transfer_is_quick_and_the_old_leader_stops_acting():
+    storm = stable_cluster()
     old = storm.leader()
     to = next(name for name in storm.voters if name != old.name)
-    at = storm.now
+    started_at = storm.now
     old.carry(old.owner.transfer_leadership(old.clock(), to))
     assert not old.owner.holds_lease(old.clock())
     while storm.leader() is None:
         storm.run(storm.now + 0.01)
-    assert storm.leader().name == to and storm.now - at < 0.3 * LEASE
+    assert storm.leader().name == to and storm.now - started_at < 0.3 * LEASE
     assert not storm.witness.broken()
 
 
 def test_lost_leader_is_replaced_within_a_few_leases():
-    """A lease and the randomized time-out pass; once more where two candidates split the vote."""
+    """A replacement takes a lease and a randomized time-out, twice that if two candidates split the vote."""
     lost = sorted(owner_lost(3, 1, 8) + owner_lost(5, 2, 8))
     assert lost[len(lost) // 2] < 1.5 * LEASE and lost[-1] < 3.5 * LEASE
 
 
 def test_long_log_is_compacted_and_an_absent_follower_gets_the_snapshot():
-    storm = calm()
+    storm = stable_cluster()
     leader = storm.leader()
     away = next(v for v in storm.voters.values() if v is not leader)
     away.up = False
@@ -204,34 +209,34 @@
     return [(one.to, one.fields) for one in effects if isinstance(one, Send) and one.kind == kind]
 
 
-def test_vote_is_given_once_a_term_also_after_a_restart_and_persisted_before_it_is_sent():
+def test_vote_is_given_once_per_term_even_after_a_restart_and_persisted_before_it_is_sent():
     one = voter()
     effects = one.receive(5.0, "b", "vote", [3, 1, 0, False])
     assert isinstance(effects[0], Persist) and effects[0].durable.vote == "b" and sent(effects, "voted")
     assert not sent(one.receive(5.1, "c", "vote", [3, 1, 0, False]), "voted")
     again = voter(durable=effects[0].durable, now=5.2)
     assert not sent(again.receive(9.0, "c", "vote", [3, 1, 0, False]), "voted")
-    assert sent(again.receive(9.0, "b", "vote", [3, 1, 0, False]), "voted"), "the same once more"
+    assert sent(again.receive(9.0, "b", "vote", [3, 1, 0, False]), "voted"), "the same vote is repeated"
 
 
-def test_vote_is_withheld_for_an_outdated_log_and_while_a_lease_may_rely_on_it():
+def test_vote_is_withheld_for_an_outdated_log_and_while_a_lease_may_depend_on_it():
     one = voter()
     one.receive(5.0, "b", "append", [2, 1, 1, 0, [[2, ["begin"]]], 2])
-    assert not sent(one.receive(5.5, "c", "vote", [9, 2, 2, False]), "voted"), "a lease of b may rely on it"
-    assert one.durable.term == 2, "and its term is not driven up meanwhile"
+    assert not sent(one.receive(5.5, "c", "vote", [9, 2, 2, False]), "voted"), "a lease of b may depend on it"
+    assert one.durable.term == 2, "its term does not rise in the meantime"
     assert not sent(one.receive(7.0, "c", "vote", [9, 1, 0, False]), "voted"), "an older log"
     assert sent(one.receive(7.0, "c", "vote", [10, 2, 2, False]), "voted")
 
 
 def leading(term_before=0, entries=()):
-    """`a` of three, just elected, with entries of earlier terms in its log."""
-    kept = DurableState(
+    """Return `a` of three voters, just elected, with entries of earlier terms in its log, and the time."""
+    durable = DurableState(
         term=term_before,
         snapshot_index=1,
         snapshot=ClusterState((("a", 1), ("b", 1), ("c", 1))),
         entries=entries,
     )
-    one = voter(durable=kept)
+    one = voter(durable=durable)
     now = 5.0
     one.tick(now)
     one.receive(now, "b", "would", [one.durable.term + 1, one.durable.term, True])
@@ -306,7 +311,7 @@
     leader = play(20.0, lead=lambda name: fleet[name].holds_lease(now) and fleet[name].commit_index > 1)
     fleet[leader].readmit_voter(now, "d", 9)
     todo = fleet[leader].tick(now)
-    while todo:  # it reaches all; of the acknowledgements only the new voter's arrives, and no commit index
+    while todo:  # it reaches all; only the new voter's acknowledgement arrives, and no commit index
         one = todo.pop(0)
         if isinstance(one, Send) and one.kind in ("append", "snapshot"):
             answers = fleet[one.to].receive(now, leader, one.kind, one.fields)
@@ -321,7 +326,7 @@
     one, now = leading(2, (LogEntry(1, ("grant", "d", "a", 1)),))
     assert one.last_position() == (3, 3)
     one.receive(now, "b", "appended", [3, one.round_number, True, 2, 1])
-    assert one.commit_index == 1, "a majority has it; a later leader could still put another in its place"
+    assert one.commit_index == 1, "a majority has it, but a later leader could still replace it"
     one.receive(now, "b", "appended", [3, one.round_number, True, 3, 1])
     assert one.commit_index == 3
 
@@ -332,7 +337,7 @@
     one.receive(5.0, "b", "append", [2, 1, 1, 0, entries, 2])
     facts = [[["a", 1], ["b", 1], ["c", 1]], [["d", "b", 1, 1]], 1, [], False]
     one.receive(5.1, "b", "snapshot", [2, 1, 3, 2, facts])
-    assert one.last_position() == (4, 2) and one.durable.snapshot_index == 3, "what it acknowledged stays"
+    assert one.last_position() == (4, 2) and one.durable.snapshot_index == 3, "acknowledged entries stay"
 
 
 @FAST
@@ -381,7 +386,7 @@
     ],
 )
 def test_entries_with_a_malformed_command_are_not_appended(command):
-    """An empty command raised IndexError; one with too few arguments stood in the log for good."""
+    """Guards against an IndexError for an empty command, and a command with too few arguments in the log."""
     one = voter()
     before = one.durable
     one.receive(5.0, "b", "append", [2, 1, 1, 0, [[2, command]], 2])
@@ -407,7 +412,7 @@
     ],
 )
 def test_values_of_another_type_change_nothing_that_is_durable(kind, fields):
-    """True passed for 1 in terms and indexes between servers, and 3.0 for 3."""
+    """Guards against True being accepted as 1, and 3.0 as 3, in terms and indexes."""
     one = voter()
     one.take_effects()
     before = one.durable
--- a/tests/cluster/test_replicated_state.py
+++ b/tests/cluster/test_replicated_state.py
@@ -1,4 +1,4 @@
-"""The replicated state machine: commands applied one by one, against a plain reading of them."""
+"""The replicated state machine: commands applied one by one, compared with a simple model."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -22,14 +22,14 @@
         max_size=25,
     )
 )
-def test_commands_and_their_plain_reading_agree(commands):
-    now, leases, voters, token, seen = ClusterState(), {}, {}, 0, []
+def test_commands_match_simple_model(commands):
+    state, leases, voters, token, granted_tokens = ClusterState(), {}, {}, 0, []
     for command in commands:
-        before, now = now, now.apply(command)
+        before, state = state, state.apply(command)
         if command[0] == "grant":
             token += 1
             leases[command[1]] = (command[2], command[3], token)
-            seen.append(token)
+            granted_tokens.append(token)
         elif command[0] == "drop":
             leases.pop(command[1], None)
         elif command[0] == "admit":
@@ -38,8 +38,8 @@
             voters.pop(command[1], None)
         elif command[0] == "epoch":
             token = max(token, command[1])
-        assert now.fencing_token == token >= before.fencing_token
-        assert dict(now.voters) == voters and {task: row for task, *row in now.task_leases} == {
+        assert state.fencing_token == token >= before.fencing_token
+        assert dict(state.voters) == voters and {task: row for task, *row in state.task_leases} == {
             task: list(row) for task, row in leases.items()
         }
-    assert seen == sorted(set(seen)), "no fencing token is granted twice"
+    assert granted_tokens == sorted(set(granted_tokens)), "no fencing token is granted twice"
--- a/tests/cluster/test_singleton_tasks.py
+++ b/tests/cluster/test_singleton_tasks.py
@@ -14,11 +14,11 @@
 
 
 def reference_model(script):
-    """Return after each step of a script whether a task's command may run, by the definition alone."""
+    """Return after each step of a script whether a task's command may run, only from the definition."""
     may_run, held, removed = [], False, False
     for step in script:
         if step == "lead":
-            held = False  # another term: its grant is still to come
+            held = False  # another term, whose grant has not been committed
         elif step == "grant":
             held = not removed
         elif step == "lose":
@@ -106,8 +106,8 @@
     assert StopCommand("d") in tasks.tick(1.4, 4)
 
 
-def test_task_put_back_while_its_command_is_being_stopped_keeps_one_entry():
-    """A second entry took its place and started a second command beside the first, whose end removed both."""
+def test_task_added_again_while_its_command_is_being_stopped_keeps_one_entry():
+    """Guards against a second entry that starts a second command beside the first, whose end removes both."""
     tasks = SingletonTasks("a", 1)
     tasks.configure(0.0, {"d": OPTIONS})
     tasks.tick(1.0, 3)
@@ -126,8 +126,8 @@
     assert [effect.fencing_token for effect in starts] == [7]
 
 
-def test_command_that_was_stopped_for_a_newer_token_is_started_again_also_where_it_ended_well():
-    """One that ends with 0 on TERM counted as done under the new token, and never ran under it."""
+def test_command_that_was_stopped_for_a_newer_token_is_started_again_even_after_success():
+    """Guards against a command that exits with 0 on TERM counting as done under the new token."""
     tasks = SingletonTasks("a", 1)
     tasks.configure(0.0, {"d": OPTIONS})
     tasks.tick(1.0, 3)
--- a/tests/cluster/test_suspicion.py
+++ b/tests/cluster/test_suspicion.py
@@ -23,7 +23,7 @@
     gossip_to(membership, wire_update("b", SUSPECTED, suspected_by="c"), now=0.0)
     pings = 0
     now = 0.0
-    # Nobody answers, so that the local health multiplier stretches the timeout too.
+    # No member answers, so that the local health multiplier lengthens the timeout too.
     while membership.get("b").state == SUSPECTED and now < 300:
         now += 0.1
         pings += sum(message.name == "b" and message.kind == "ping" for message in membership.tick(now))
--- a/tests/cluster/test_vote_file.py
+++ b/tests/cluster/test_vote_file.py
@@ -1,4 +1,4 @@
-"""The file of a voter's durable state: what it holds, whose it is, and its directory's lock."""
+"""The file of a voter's durable state: its content, its owner and its directory's lock."""
 
 import pytest
 
@@ -34,8 +34,8 @@
 
 
 def test_vote_with_any_byte_damaged_is_rejected(data):
-    for at in range(len(data)):
-        damaged = data[:at] + bytes((data[at] ^ 1,)) + data[at + 1 :]
+    for offset in range(len(data)):
+        damaged = data[:offset] + bytes((data[offset] ^ 1,)) + data[offset + 1 :]
         with pytest.raises(vote_file.DamagedVoteFileError):
             vote_file.decode(damaged, "lab", "n1", "127.0.0.1:1")
 
--- a/tests/digests/bootstrap.py
+++ b/tests/digests/bootstrap.py
@@ -1,4 +1,4 @@
-"""Feeds the founding of fleets, of one and of three to five servers: losses, delays, restarts, bad words."""
+"""Drives the bootstrap of clusters of one and of three to five servers: losses, restarts, bad input."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Fleet:
-    """Servers of one fleet that has not begun, and the words on their way."""
+    """Servers of a cluster that is not bootstrapped, and the announcements in flight."""
 
     def __init__(self, chance: random.Random, record: Callable[[object], None]) -> None:
         self.chance = chance
@@ -37,13 +37,13 @@
         self.way: list[tuple[int, str, str, list]] = []
 
     def begin(self, name: str) -> None:
-        """Begin a life of one server that remembers nothing."""
+        """Start an incarnation of one server without durable state."""
         floor = self.chance.choice([0, 0, 7, 40])
         self.servers[name] = Bootstrap(name, self.lives[name], floor, self.names)
         self.record(voter_set_to_wire(self.servers[name].complete_if_alone()))
 
     def tell(self, step: int) -> None:
-        """Let one server tell its word to the others."""
+        """Send one server's announcement to the others."""
         name = self.chance.choice(self.names)
         word = self.servers[name].announcement()
         self.record(word)
@@ -52,7 +52,7 @@
                 self.way.append((step + self.chance.randrange(12), name, other, word))
 
     def deliver(self, step: int) -> None:
-        """Hand over the words whose time has come, some of them spoilt."""
+        """Deliver the announcements that are due, some of them malformed."""
         due = [one for one in self.way if one[0] <= step]
         self.way = [one for one in self.way if one[0] > step]
         for _, sender, name, (row, would, done) in due:
@@ -68,18 +68,18 @@
             self.record(voter_set_to_wire(self.servers[name].receive(sender, row, would, done)))
 
     def restart(self) -> None:
-        """Let one server begin another life without what it knew."""
+        """Restart one server without its state."""
         name = self.chance.choice(self.names)
         self.lives[name] += 1
         self.begin(name)
 
     def founded(self) -> bool:
-        """Return whether all have founded."""
+        """Return whether all have completed the bootstrap."""
         return all(server.completed is not None for server in self.servers.values())
 
 
 def play(seed: int, record: Callable[[object], None]) -> None:
-    """Found fleet after fleet for some thousand steps and record all words and sets."""
+    """Bootstrap cluster after cluster for some thousand steps and record all announcements and sets."""
     chance = random.Random(seed)
     for said in UNREADABLE:
         record(read_voter_set(said) is not None)
--- a/tests/digests/canonical.py
+++ b/tests/digests/canonical.py
@@ -1,7 +1,7 @@
-"""A digest of what a machine returned that no rename of a class, a field or a string constant can change.
+"""A digest of a machine's results that does not depend on names of classes, fields and string constants.
 
 Tuples and objects are written by the position of their fields, enumerations by their number, strings and
-classes by the order in which they first appeared. A consistent rename therefore leaves the digest as it is,
+classes by the order in which they first appeared. A consistent rename therefore does not change the digest,
 while another value, another order or another transition changes it.
 """
 
@@ -25,7 +25,7 @@
         self._hash.update(b"\n")
 
     def hexdigest(self) -> str:
-        """Return the digest of all that was added, in hexadecimal."""
+        """Return the digest of all added results, in hexadecimal."""
         return self._hash.hexdigest()
 
     def _number(self, key: object) -> int:
--- a/tests/digests/compaction.py
+++ b/tests/digests/compaction.py
@@ -1,4 +1,4 @@
-"""Feeds the decisions of the store's background work: what is done with the log, room for a key, the disk."""
+"""Drives the store's background decisions: actions on the log, capacity for a key, the disk's health."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 def generated_room(chance: random.Random) -> Room:
-    """Return what is taken and what is left, with values on both sides of each bound, and on the bounds."""
+    """Return a capacity view with values on both sides of each bound, and on the bounds."""
     most_keys = 100
     usable = 5000
     most_waiting = 300
--- a/tests/digests/degradation.py
+++ b/tests/digests/degradation.py
@@ -1,4 +1,4 @@
-"""Feeds the levels of reduced service: loads that come and go, pins, cold starts, other configurations.
+"""Drives the degradation levels: changing load, pins, cold starts, other configurations.
 
 The signals are summed from generated calls and submissions, the conditions are read from texts.
 """
@@ -49,7 +49,7 @@
 
 
 def conditions(texts: tuple[str, ...], record: Callable[[object], None]) -> list[object]:
-    """Read texts and record how each is understood and told."""
+    """Parse texts and record each parsed condition and its formatted text."""
     read = []
     for text in texts:
         condition = ConditionType().read(text)
@@ -61,7 +61,7 @@
 
 
 def faults(record: Callable[[object], None]) -> None:
-    """Record how unreadable conditions are refused."""
+    """Record the errors of unreadable conditions."""
     for text in UNREADABLE:
         try:
             record([list(row[0]) for row in ConditionType().read(text).conjunctions])
@@ -70,7 +70,7 @@
 
 
 class Load:
-    """What the server meets: a phase of some seconds after the other."""
+    """The server's load, in successive phases of some seconds."""
 
     def __init__(self, chance: random.Random) -> None:
         self.chance = chance
@@ -78,7 +78,7 @@
         self.change(0.0)
 
     def change(self, now: float) -> None:
-        """Begin another phase, calm or troubled."""
+        """Begin another phase, of normal or high load."""
         chance = self.chance
         bad = chance.random() < 0.5
         self.until = now + chance.choice([1.0, 3.0, 10.0, 30.0])
@@ -104,7 +104,7 @@
 
 
 def generated_levels(chance: random.Random, enters: list, leaves: list) -> list[DegradationLevel]:
-    """Return some of the levels, each with its own least stay."""
+    """Return some of the levels, each with its own minimum stay."""
     levels = []
     for position, (enter, leave) in enumerate(zip(enters, leaves, strict=True)):
         if chance.random() < 0.85:
@@ -122,7 +122,7 @@
 
 
 def by_hand(chance: random.Random, decision: DegradationController, now: float) -> list[object] | None:
-    """Pin a level, which may be unknown, or free what is pinned, and return the changes."""
+    """Pin a level, which may be unknown, or release the pinned one, and return the changes."""
     if chance.random() < 0.7:
         name = f"level-{chance.randrange(5)}"
         return plain(decision.pin(now, name, chance.choice([1.0, 5.0, 20.0])))
--- a/tests/digests/drain_schedule.py
+++ b/tests/digests/drain_schedule.py
@@ -1,6 +1,6 @@
-"""Feeds the owner's order of turns: requests, reports, losses, strain and new owners.
+"""Drives the leader's drain schedule: requests, reports, losses, overload and new leaders.
 
-The facts that it proposes are applied to the log's facts, and the servers do what they are told, mostly.
+The entries that it proposes are applied to the log's state, and the servers mostly follow instructions.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class Server:
-    """One server: what it does about its turn, and its last report."""
+    """One server: the state of its maintenance, and its last report."""
 
     def __init__(self, chance: random.Random, number: int) -> None:
         self.chance = chance
@@ -56,12 +56,12 @@
         self.report: ServerView | None = None
 
     def ends(self, now: float, most: float) -> None:
-        """End this life; another begins after a while."""
+        """End this incarnation; another begins later."""
         self.alive = False
         self.comes_back_at = now + self.chance.uniform(0.0, most)
 
     def begins(self) -> None:
-        """Begin another life, cold."""
+        """Begin another incarnation, not warmed up."""
         self.alive = True
         self.life += 1
         self.doing = RecordState.WAITING
@@ -70,7 +70,7 @@
         self.answers = 0
 
     def goes_on(self, now: float) -> None:
-        """Do what time does: come back, warm up, become empty."""
+        """Advance with time: return, warm up, finish the drain."""
         chance = self.chance
         if not self.alive and now >= self.comes_back_at:
             self.begins()
@@ -80,7 +80,7 @@
             self.doing = RecordState.DRAINED
 
     def view(self, now: float) -> ServerView:
-        """Return what it reports now."""
+        """Return its current report."""
         return ServerView(
             self.name,
             self.zone,
@@ -98,7 +98,7 @@
         )
 
     def told(self, now: float, verb: str, fence: int) -> None:
-        """Do as the owner says, mostly."""
+        """Mostly follow the leader's instruction."""
         if now < self.deaf_until or self.chance.random() < 0.15:
             return
         if verb == "out" and self.doing == RecordState.WAITING:
@@ -111,7 +111,7 @@
 
 
 class World:
-    """The servers, the log's facts and the owner that looks at them."""
+    """The servers, the log's state and the leader's schedule."""
 
     def __init__(self, chance: random.Random, record: Callable[[object], None]) -> None:
         self.chance = chance
@@ -124,15 +124,15 @@
         self.order = DrainSchedule(self.limits, LEASE, LASTS, self.now)
 
     def rows(self) -> list[MaintenanceRecord]:
-        """Return the requests as the log has them."""
+        """Return the requests in the log."""
         return [decode_record(row) for row in self.facts.maintenance_records]
 
     def apply(self, fact: tuple) -> None:
-        """Commit one fact."""
+        """Commit one entry."""
         self.facts = self.facts.apply(fact)
 
     def request(self) -> None:
-        """Let somebody ask for a turn, at times for a server that nobody knows."""
+        """Request maintenance, sometimes of an unknown server."""
         chance = self.chance
         name = chance.choice([*(server.name for server in self.servers), "ghost"])
         if any(row.server == name for row in self.rows()):
@@ -143,7 +143,7 @@
         self.apply(("turn", row.encode()))
 
     def take_back(self) -> None:
-        """Let an operator want one turn no more."""
+        """Cancel one request."""
         rows = self.rows()
         if self.chance.random() < 0.5:
             rows = [row for row in rows if row.state != RecordState.WAITING]
@@ -152,7 +152,7 @@
             self.apply(("turn", row._replace(cancelled=True).encode()))
 
     def serve_again(self) -> None:
-        """Let one that drains or is empty serve again, as no server should, and hear nothing for a while."""
+        """Let a draining or drained server serve again, which is a fault, and lose messages for some time."""
         out = [server for server in self.servers if server.doing != RecordState.WAITING]
         if out:
             server = self.chance.choice(out)
@@ -160,7 +160,7 @@
             server.deaf_until = self.now + self.chance.uniform(0.0, 20.0)
 
     def events(self) -> None:
-        """Let the world change by chance."""
+        """Make random changes."""
         chance = self.chance
         server = chance.choice(self.servers)
         kind = chance.random()
@@ -195,7 +195,7 @@
             server.deaf_until = self.now + chance.uniform(0.0, 20.0)
 
     def reports(self) -> None:
-        """Let the servers report and be told."""
+        """Let the servers report and receive instructions."""
         rows = self.rows()
         for server in self.servers:
             if not server.alive or self.now < server.silent_until or self.chance.random() < 0.2:
@@ -207,7 +207,7 @@
             server.told(self.now, verb, fence)
 
     def views(self) -> dict[str, ServerView]:
-        """Return the servers as the owner has them; the membership may be behind a report or ahead of it."""
+        """Return the leader's view of the servers; the membership may be older or newer than a report."""
         views = {}
         for server in self.servers:
             if not server.listed:
@@ -221,7 +221,7 @@
         return views
 
     def look(self) -> None:
-        """Let the owner look, and commit what it proposes."""
+        """Plan, and commit the proposed entries."""
         views = self.views()
         facts = self.order.plan(self.now, self.rows(), views, self.facts.maintenance_held)
         self.record([list(fact.encode()) for fact in facts])
@@ -230,7 +230,7 @@
             self.apply(fact.encode())
 
     def figures(self) -> None:
-        """Record the log's rows and what the owner counts with."""
+        """Record the log's records and the schedule's state."""
         views = self.views()
         rows = self.rows()
         known = self.order.reporting_servers(self.now, views)
@@ -242,7 +242,7 @@
 
 
 def refused(state: int) -> bool:
-    """Return whether a row with this state is refused."""
+    """Return whether a record with this state is rejected."""
     said = MaintenanceRecord("s0", 1, "reboot", False, 5.0, state).encode()
     try:
         decode_record(said)
@@ -252,7 +252,7 @@
 
 
 def pairs(order: DrainSchedule, record: Callable[[object], None]) -> None:
-    """Record the step of every pair of state and input, those that change nothing too."""
+    """Record the step of every pair of state and input, including those that change nothing."""
     for state in range(len(RecordState)):
         row = MaintenanceRecord("s0", 1, "reboot", False, 5.0, state, 3, 2, 1)
         for given in INPUTS:
@@ -260,7 +260,7 @@
 
 
 def play(seed: int, record: Callable[[object], None]) -> None:
-    """Play some thousand steps and record facts, reasons and words."""
+    """Run some thousand steps and record entries, reasons and instructions."""
     chance = random.Random(seed)
     world = World(chance, record)
     for state in (-1, len(RecordState)):
--- a/tests/digests/entry_states.py
+++ b/tests/digests/entry_states.py
@@ -1,4 +1,4 @@
-"""Feeds the states of a kept key: every pair of state and input once, then generated inputs to many keys."""
+"""Drives the states of an entry: every pair of state and input once, then generated inputs to many keys."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 STATES = ALL_STATES
 INPUTS = range(8)
-# The words of the recorded digests.
+# Today's names -> the names with which the digests were recorded.
 WORDS = {None: None, "reject": "refuse", "execute": "run", "coalesce": "join", "fail": "write_off"}
 KEYS = 40
 STEPS = 6000
 
 
 def plain(found: tuple | None) -> list[object] | None:
-    """Return a move with its next state by position."""
+    """Return a transition with its next state by position."""
     if found is None:
         return None
     state, effect = found
@@ -24,7 +24,7 @@
 
 
 def play(seed: int, record: Callable[[object], None]) -> None:
-    """Record the move of each pair, then of generated inputs."""
+    """Record the transition of each pair, then those of generated inputs."""
     for state in STATES:
         record(WORDS.get(LOOKUP_OUTCOMES[state], str(LOOKUP_OUTCOMES[state])))
         for given in INPUTS:
--- a/tests/digests/local_drain.py
+++ b/tests/digests/local_drain.py
@@ -1,4 +1,4 @@
-"""Feeds one server's part in its turn: words of the owner in and out of time, notices, drains, silence."""
+"""Drives one server's drain: the leader's instructions in time and late, termination signals, silence."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def figures(place: LocalDrain) -> list[object]:
-    """Return what the place shows of its state."""
+    """Return the public state of the drain."""
     return [
         STATES.index(place.state),
         place.fencing_token,
--- a/tests/digests/singleton_tasks.py
+++ b/tests/digests/singleton_tasks.py
@@ -1,4 +1,4 @@
-"""Feeds the fleet's duties on one server: terms, grants, commands that end or overrun, another file."""
+"""Drives the singleton tasks of one server: terms, grants, commands that end or exceed limits, reloads."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def generated_options(chance: random.Random, name: str) -> SingletonTaskOptions:
-    """Return one duty as an operator might have it."""
+    """Return one task with plausible options."""
     if name == "share":
         return SingletonTaskOptions("share-calls", None, None, 60.0, 1.0, "clock", 50, 0.5)
     every = chance.choice([None, 3.0, 10.0])
@@ -31,7 +31,7 @@
 
 
 def generated_file(chance: random.Random) -> dict[str, SingletonTaskOptions]:
-    """Return the duties of another operator's file."""
+    """Return the tasks of another operator's file."""
     names = [name for name in NAMES if chance.random() < 0.8]
     return {name: generated_options(chance, name) for name in names}
 
@@ -46,7 +46,7 @@
 
 
 class Fleet:
-    """What stands around the duties: the owner's log and the commands that run."""
+    """The surroundings of the tasks: the leader's log and the running commands."""
 
     def __init__(self, chance: random.Random, record: Callable[[object], None]) -> None:
         self.chance = chance
@@ -60,7 +60,7 @@
         self.running: dict[str, int] = {}
 
     def take(self, effects: list) -> None:
-        """Record effects and remember what was asked for and started."""
+        """Record effects, requested grants and started commands."""
         for effect in effects:
             kind = EFFECTS.index(type(effect))
             self.record([kind, plain(effect)])
@@ -70,7 +70,7 @@
                 self.running[effect.task] = effect.fencing_token
 
     def grant(self) -> None:
-        """Commit a grant: one that was asked for, or one again, or one of an earlier term."""
+        """Commit a grant: a requested one, a repeated one, or one of an earlier term."""
         name = self.chance.choice(NAMES)
         if self.asked and self.chance.random() < 0.9:
             name = self.asked.pop(0)
@@ -81,7 +81,7 @@
         self.take(self.duties.grant_committed(self.now, term, name, self.fence))
 
     def end(self) -> None:
-        """Let a command end, well or not; at times one that never ran."""
+        """End a command, with success or failure; sometimes one that never ran."""
         name = self.chance.choice([*self.running, "nobody"])
         self.running.pop(name, None)
         code = self.chance.choice([0, 0, 1])
@@ -89,7 +89,7 @@
         self.take(self.duties.command_ended(self.now, name, outcome))
 
     def other_term(self) -> None:
-        """Win, lose or change the lead."""
+        """Gain, lose or change leadership."""
         if self.term is not None and self.chance.random() < 0.5:
             self.term = None
             return
@@ -98,13 +98,13 @@
         self.asked.clear()
 
     def figures(self) -> None:
-        """Record what the duties show of themselves."""
+        """Record the status of the tasks."""
         for name, shown in self.duties.status(self.now).items():
             self.record([name, plain(shown)])
 
 
 def play(seed: int, record: Callable[[object], None]) -> None:
-    """Play some thousand steps and record each effect."""
+    """Run some thousand steps and record each effect."""
     chance = random.Random(seed)
     fleet = Fleet(chance, record)
     fleet.take(fleet.duties.configure(fleet.now, generated_file(chance)))
--- a/tests/digests/vote_persistence.py
+++ b/tests/digests/vote_persistence.py
@@ -1,4 +1,4 @@
-"""Feeds what holds effects back until the vote is durable: effects in any order, slow and failing writes."""
+"""Drives the persistence of votes: effects in any order, slow and failing writes."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 
 
 class Helper:
-    """Stands for the thread that writes: remembers what it was asked for."""
+    """Replaces the worker thread: records the requested writes."""
 
     def __init__(self, record: Callable[[object], None]) -> None:
         self.record = record
         self.asked = 0
 
     def submit(self, kind: str, function: Callable[[bytes], None], *given: bytes) -> None:
-        """Take one write, which is over when the driver says so."""
+        """Record one write, which ends when the driver ends it."""
         self.asked += 1
         self.record([kind, list(given)])
 
 
 class Folder:
-    """Stands for the folder of a voter."""
+    """Replaces the directory of a voter."""
 
     def write(self, data: bytes) -> None:
-        """Stand for the write, which the helper never calls here."""
+        """Do nothing; the replaced worker never calls this."""
 
 
 def encode(kept: DurableState) -> bytes:
-    """Return what stands for the file."""
+    """Return a placeholder for the file's bytes."""
     return f"{kept.term}".encode()
 
 
 def generated_effects(chance: random.Random, number: int) -> list[object]:
-    """Return up to five effects, with the vote that is to be kept anywhere between them."""
+    """Return up to five effects, with states to persist anywhere between them."""
     effects = []
     for offset in range(chance.choice([0, 1, 1, 2, 3, 5])):
         kind = chance.random()
@@ -63,7 +63,7 @@
 
 
 def play(seed: int, record: Callable[[object], None]) -> None:
-    """Play some thousand steps and record what may go out, and when."""
+    """Run some thousand steps and record which effects are released, and when."""
     chance = random.Random(seed)
     helper = Helper(record)
     now = 0.0
--- a/tests/digests/window_clock.py
+++ b/tests/digests/window_clock.py
@@ -1,4 +1,4 @@
-"""Feeds the store's own time: steps of the wall clock, suspends, restarts on one boot and reboots."""
+"""Drives store time: steps of the wall clock, suspends, restarts within one boot and reboots."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
         self.boots = 0
 
     def read(self) -> Moment:
-        """Return what the clocks say."""
+        """Return the clocks' reading."""
         return Moment(self.wall, self.boot, self.boot_id)
 
     def goes_on(self) -> None:
-        """Let time pass; the wall clock is set at times, and the boot clock read a little early."""
+        """Advance the time; sometimes the wall clock is set, or the boot clock is read slightly early."""
         passed = self.chance.choice([0.0, 0.001, 0.5, 1.0, 60.0, 4000.0])
         self.wall += passed
         self.boot += passed
@@ -39,7 +39,7 @@
             self.boot -= self.chance.uniform(0.0, 100.0)
 
     def reboot(self) -> None:
-        """Begin another boot, which some systems do not name."""
+        """Begin another boot, sometimes without a boot id."""
         self.boots += 1
         self.boot_id = self.chance.choice(["", f"boot-{self.boots}", f"boot-{self.boots}"])
         self.boot = self.chance.uniform(0.0, 40.0)
@@ -47,13 +47,13 @@
 
 
 def plain(stamp: Stamp) -> list[object]:
-    """Return a stamp by position."""
+    """Return a timestamp by position."""
     at, moment = stamp
     return [at, list(moment)]
 
 
 def play(seed: int, record: Callable[[object], None]) -> None:
-    """Play some thousand steps and record the time, the stamps and what is resumed from them."""
+    """Run some thousand steps and record the time, the timestamps and the times resumed from them."""
     chance = random.Random(seed)
     machine = Machine(chance)
     record(resume(None, machine.read()))
