--- a/tests/lab/test_floods.py
+++ b/tests/lab/test_floods.py
@@ -1,4 +1,5 @@
-"""Several processes of the program under floods and restarts, with faults between them, and a witness."""
+"""Several server processes under connection floods, restarts and faults must cause no violation, and the
+checker must find each planted fault."""
 
 import pytest
 
@@ -7,15 +8,18 @@
 PLANTED = "import sys\n{fault}\nfrom valeturn.server.commands import main\nsys.exit(main(sys.argv[1:]))"
 
 
-def told(broken):
-    return {name: value[:3] for name, value in broken._asdict().items() if value}
+def violations_by_kind(violations):
+    return {name: value[:3] for name, value in violations._asdict().items() if value}
 
 
 def test_floods_and_restarts_lose_nothing_and_run_nothing_twice(tmp_path):
-    broken, world = floods.storm(tmp_path, 1)
-    assert broken.good(), told(broken)
-    outcomes = [one.outcome for one in world.sent]
-    assert outcomes.count(floods.DELIVERED) > 300 and sum(server.life for server in world.servers) > 4
+    violations, environment = floods.run_flood(tmp_path, 1)
+    assert violations.good(), violations_by_kind(violations)
+    outcomes = [one.outcome for one in environment.sent]
+    assert (
+        outcomes.count(floods.DELIVERED) > 300
+        and sum(server.incarnation for server in environment.servers) > 4
+    )
 
 
 @pytest.mark.parametrize(
@@ -47,8 +51,8 @@
         ),
     ],
 )
-def test_the_same_witness_finds_each_planted_fault(tmp_path, fault, found):
+def test_the_checker_finds_each_planted_fault(tmp_path, fault, found):
     serve = ("-c", PLANTED.format(fault=fault), "serve", "--config")
     kinds = (floods.Server.restart, floods.Server.flood)
-    broken, _ = floods.storm(tmp_path, 1, servers=2, faults=3, serve=serve, kinds=kinds)
-    assert getattr(broken, found), broken
+    violations, _ = floods.run_flood(tmp_path, 1, servers=2, faults=3, serve=serve, kinds=kinds)
+    assert getattr(violations, found), violations
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,4 +1,6 @@
-"""One server, stopped and started again in place by a drawn schedule; and the checkers on planted faults."""
+"""One server restarted in place by a drawn schedule must cause no violation, and the checker must find
+planted faults: a dropped answer, a drain grace that is too long, a process that keeps the server's sockets.
+"""
 
 import pytest
 
@@ -28,42 +30,46 @@
         os._exit(0)
     return run_reader(request, path, receive, sleep)
 loader.run_reader = forked"""
-# Seeds that have, together, each kind of operator's file, each ending and each signal.
-SHORT = (1, 2, 3, 5)
+# Together these seeds have each kind of operator's file, each ending and each signal.
+SHORT_SEEDS = (1, 2, 3, 5)
 
 
-def told(found):
+def violations_by_kind(found):
     return {name: rows[:3] for name, rows in found._asdict().items() if rows}
 
 
-@pytest.mark.parametrize("seed", SHORT)
-def test_server_that_is_ended_in_all_ways_breaks_nothing(tmp_path, seed):
-    found, world = soak.play(tmp_path, seed)
-    assert found.good(), told(found)
-    assert len(world.sent) > 500 and world.server.life == soak.LIVES + 1
+@pytest.mark.parametrize("seed", SHORT_SEEDS)
+def test_a_server_ended_in_every_way_causes_no_violation(tmp_path, seed):
+    found, environment = soak.play(tmp_path, seed)
+    assert found.good(), violations_by_kind(found)
+    assert len(environment.sent) > 500 and environment.server.incarnation == soak.INCARNATIONS + 1
 
 
 def test_short_seeds_have_every_kind_of_ending_signal_and_file():
-    schedules = [draw_schedule(seed, soak.LIVES) for seed in SHORT]
-    lives = [life for schedule in schedules for life in schedule.lives]
+    schedules = [draw_schedule(seed, soak.INCARNATIONS) for seed in SHORT_SEEDS]
+    incarnations = [incarnation for schedule in schedules for incarnation in schedule.incarnations]
     assert {schedule.operator_file for schedule in schedules} == set(OperatorFile)
-    assert {life.ending for life in lives} == set(Ending)
-    assert {one.signal for life in lives for one in life.signals} == set(Signal)
-    assert draw_schedule(1, soak.LIVES) == draw_schedule(1, soak.LIVES) != draw_schedule(2, soak.LIVES)
+    assert {incarnation.ending for incarnation in incarnations} == set(Ending)
+    assert {one.signal for incarnation in incarnations for one in incarnation.signals} == set(Signal)
+    assert (
+        draw_schedule(1, soak.INCARNATIONS)
+        == draw_schedule(1, soak.INCARNATIONS)
+        != draw_schedule(2, soak.INCARNATIONS)
+    )
 
 
-def test_checkers_find_an_answer_that_is_dropped_at_the_drain(tmp_path):
+def test_checker_finds_an_answer_dropped_during_the_drain(tmp_path):
     serve = ("-c", PLANTED.format(fault=DROPPED_ANSWER), "serve", "--config")
-    found, _ = soak.play(tmp_path, 5, lives=4, serve=serve)
+    found, _ = soak.play(tmp_path, 5, incarnations=4, serve=serve)
     assert found.lost
 
 
-def test_checkers_find_what_runs_after_the_grace(tmp_path):
-    found, _ = soak.play(tmp_path, 5, lives=4, grace=1.1)
+def test_checker_finds_submissions_that_run_after_the_drain_grace(tmp_path):
+    found, _ = soak.play(tmp_path, 5, incarnations=4, drain_grace_s=1.1)
     assert found.late
 
 
-def test_checkers_find_a_process_that_has_the_server_s_sockets(tmp_path):
+def test_checker_finds_a_process_that_inherited_the_server_s_sockets(tmp_path):
     serve = ("-c", PLANTED.format(fault=INHERITING_READER), "serve", "--config")
-    found, _ = soak.play(tmp_path, 3, lives=2, serve=serve)
+    found, _ = soak.play(tmp_path, 3, incarnations=2, serve=serve)
     assert found.left_behind or found.crashed
--- a/valeturn/lab/addresses.py
+++ b/valeturn/lab/addresses.py
@@ -2,7 +2,7 @@
 
 A port that the kernel chose (bind to port 0) is free again as soon as its socket is closed. While the server
 is down, any outgoing connection and any other bind to port 0 may get it. The ports here lie below the range
-from which the kernel takes those, and an address stays with the process that reserved it until that one ends.
+from which the kernel takes those, and an address belongs to the process that reserved it until that one ends.
 """
 
 from __future__ import annotations
--- a/valeturn/lab/gateways.py
+++ b/valeturn/lab/gateways.py
@@ -1,7 +1,7 @@
-"""Scripted gateways: they send submissions, and send them again without limit and without a mark of it.
+"""Scripted gateways: they send submissions and repeat them without limit, and repeats are not marked as such.
 
-Frames as the protocol's page has them, written and read here by hand: what the program's own parsers make of
-bytes is under test.
+Frames are encoded and decoded here after the protocol specification, without the program's own codec, because
+that is under test.
 """
 
 from __future__ import annotations
@@ -13,59 +13,73 @@
 
 from .checker import CUT, DELIVERED, SILENT, TURNED_BACK, WRITTEN_OFF, Try
 
-CODES = {1: DELIVERED, 0: TURNED_BACK, 9: WRITTEN_OFF}
-SLACK = (
-    0.5  # s past its due time after which a silent server has lost a submission; a loaded machine's allowance
-)
-OPEN = 24  # submissions on one connection
+OUTCOMES_BY_CODE = {1: DELIVERED, 0: TURNED_BACK, 9: WRITTEN_OFF}
+# A submission counts as unanswered this long after its due time; the slack is for a loaded machine.
+ANSWER_SLACK_S = 0.5
+MAX_OPEN_SUBMISSIONS = 24  # on one connection
 
 
-def frame(kind, stream, payload):
+def encode_frame(kind, stream, payload):
+    """Return the bytes of one frame."""
     return struct.pack("<IBI", len(payload) + 5, kind, stream) + payload
 
 
-def submission(stream, workload, call, body, wait, mark=None, work=0.01, tenant="acme", caller=1):
+def encode_submission(
+    stream, workload, call, body, timeout_s, deduplication_key=None, work=0.01, tenant="acme", caller=1
+):
+    """Return the frame of one submission.
+
+    Args:
+        timeout_s: How long the caller waits.
+        deduplication_key: Sent where it is not None.
+        work: The estimated run time in seconds.
+    """
     fields = {
         "op": workload,
         "call": call,
         "recv": str(int(1000 * time.time())),
         "src": str(caller),
         "org": tenant,
-        "ttl": str(int(1000 * wait)),
+        "ttl": str(int(1000 * timeout_s)),
         "work": f"{1000 * work:.2f}",
         "heap": "8.0",
         "crit": "0.5",
     }
-    if mark is not None:
-        fields["dedupe"] = mark
+    if deduplication_key is not None:
+        fields["dedupe"] = deduplication_key
     parts = [bytes((len(fields),))]
     for name, value in fields.items():
         name, value = name.encode(), value.encode()
         parts += bytes((len(name),)), name, struct.pack("<H", len(value)), value
-    return frame(7, stream, b"".join(parts) + body)
+    return encode_frame(7, stream, b"".join(parts) + body)
 
 
-def read_answer(payload):
-    """(code, fields, body)"""
-    fields, at = {}, 2
+def decode_answer(payload):
+    """Return (code, fields, body) of an answer's payload."""
+    fields, position = {}, 2
     for _ in range(payload[1]):
-        end = at + 1 + payload[at]
+        end = position + 1 + payload[position]
         (size,) = struct.unpack_from("<H", payload, end)
-        fields[payload[at + 1 : end].decode()] = payload[end + 2 : end + 2 + size].decode()
-        at = end + 2 + size
-    return payload[0], fields, payload[at:]
+        fields[payload[position + 1 : end].decode()] = payload[end + 2 : end + 2 + size].decode()
+        position = end + 2 + size
+    return payload[0], fields, payload[position:]
 
 
 class Connection:
-    """One connection to the server: streams in order, each waiting for its one answer."""
+    """One connection to the server: streams are numbered in order, and each waits for its one answer.
+
+    Args:
+        on_second_answer: Called with the submission id when a second answer arrives for it.
+    """
 
-    def __init__(self, reader, writer, on_double):
-        self.reader, self.writer, self.on_double = reader, writer, on_double
-        self.waiting, self.calls, self.next, self.ended = {}, {}, itertools.count(1), False
+    def __init__(self, reader, writer, on_second_answer):
+        self.reader, self.writer, self.on_second_answer = reader, writer, on_second_answer
+        self.pending_answers, self.calls, self.stream_numbers, self.ended = {}, {}, itertools.count(1), False
         self.draining = False
         self.task = asyncio.get_running_loop().create_task(self.read())
 
     async def read(self):
+        """Pass answers to those that wait for them until the connection ends."""
         try:
             while True:
                 length, kind, stream = struct.unpack("<IBI", await self.reader.readexactly(9))
@@ -73,99 +87,124 @@
                 if kind == 3:
                     self.draining = True
                 elif kind == 8:
-                    waits = self.waiting.pop(stream, None)
-                    if waits is None:
-                        self.on_double(self.calls.get(stream))
-                    elif not waits.done():
-                        waits.set_result(read_answer(payload))
+                    pending_answer = self.pending_answers.pop(stream, None)
+                    if pending_answer is None:
+                        self.on_second_answer(self.calls.get(stream))
+                    elif not pending_answer.done():
+                        pending_answer.set_result(decode_answer(payload))
         except (asyncio.IncompleteReadError, ConnectionError, OSError):
             pass
         finally:
             self.ended = True
             self.writer.close()
-            for waits in self.waiting.values():
-                if not waits.done():
-                    waits.set_result(None)
+            for pending_answer in self.pending_answers.values():
+                if not pending_answer.done():
+                    pending_answer.set_result(None)
 
-    async def ask(self, workload, call, body, wait, mark, caller, work=0.01):
-        """(code, fields, body), CUT or SILENT."""
+    async def send_submission(self, workload, call, body, timeout_s, deduplication_key, caller, work=0.01):
+        """Send one submission and return (code, fields, body) of its answer, CUT or SILENT."""
         if self.ended or self.writer.is_closing():
             return CUT
-        stream = next(self.next)
-        waits = self.waiting[stream] = asyncio.get_running_loop().create_future()
+        stream = next(self.stream_numbers)
+        pending_answer = self.pending_answers[stream] = asyncio.get_running_loop().create_future()
         self.calls[stream] = call
         self.calls.pop(stream - 4096, None)
         try:
-            self.writer.write(submission(stream, workload, call, body, wait, mark, work, caller=caller))
+            self.writer.write(
+                encode_submission(
+                    stream, workload, call, body, timeout_s, deduplication_key, work, caller=caller
+                )
+            )
         except (ConnectionError, OSError):
             return CUT
         try:
-            return await asyncio.wait_for(waits, wait + SLACK) or CUT
+            return await asyncio.wait_for(pending_answer, timeout_s + ANSWER_SLACK_S) or CUT
         except asyncio.TimeoutError:
             return SILENT
 
 
 class Gateway:
-    def __init__(self, address, number, world):
-        """world: .life (the server's, counted), .look_whether_dead(life), .random_source (random()), .tries,
-        .doubled."""
-        self.address, self.number, self.world, self.connection = address, number, world, None
-        self.lock = asyncio.Lock()
-
-    async def connected(self):
-        """A connection, or None while the server does not listen: nothing was sent then."""
-        async with self.lock:
-            c = self.connection
-            if c is None or c.ended or c.draining or len(c.waiting) >= OPEN:
-                life = self.world.life
+    """A caller that keeps one connection to a server and connects again when that ends."""
+
+    def __init__(self, address, number, environment):
+        """Set up a gateway, which connects with its first submission.
+
+        Args:
+            environment: What the gateway reads and reports to: life (the current incarnation of the server),
+                look_whether_dead(life), new_call(), random_source, and the lists tries (all outcomes) and
+                doubled (submission ids that got two answers).
+        """
+        self.address, self.number, self.environment, self.connection = address, number, environment, None
+        self.connect_lock = asyncio.Lock()
+
+    async def get_connection(self):
+        """Return a usable connection, or None while the server does not listen."""
+        async with self.connect_lock:
+            connection = self.connection
+            if (
+                connection is None
+                or connection.ended
+                or connection.draining
+                or len(connection.pending_answers) >= MAX_OPEN_SUBMISSIONS
+            ):
+                life = self.environment.life
                 try:
-                    made = await asyncio.open_connection(*self.address)
+                    streams = await asyncio.open_connection(*self.address)
                 except OSError:
                     return None
-                self.connection = c = Connection(*made, self.world.doubled.append)
-                c.life = life  # whose it is, also where its end is seen when the next one lives
-                if life != self.world.life:  # one died and the next came while it was being made: nobody's
-                    c.task.cancel()
-                    made[1].close()
+                self.connection = connection = Connection(*streams, self.environment.doubled.append)
+                connection.life = life  # stays, even if the end is seen during the next incarnation
+                # The server was restarted meanwhile: which incarnation accepted the connection is unknown.
+                if life != self.environment.life:
+                    connection.task.cancel()
+                    streams[1].close()
                     return None
-            return c
+            return connection
 
-    async def once(self, key, workload, wait, work=0.01):
-        """One try on one connection; None where none could be made."""
-        connection = await self.connected()
+    async def once(self, key, workload, timeout_s, work=0.01):
+        """Send one submission once and return its outcome, or None when no connection could be made."""
+        connection = await self.get_connection()
         if connection is None:
             return None
-        life, call = connection.life, self.world.new_call()
-        mark = key if workload == "book" else None
-        got = await connection.ask(workload, call, key.encode(), wait, mark, self.number, work)
-        outcome, result = (got, b"") if isinstance(got, str) else (CODES[got[0]], got[2])
+        life, call = connection.life, self.environment.new_call()
+        deduplication_key = key if workload == "book" else None
+        answer = await connection.send_submission(
+            workload, call, key.encode(), timeout_s, deduplication_key, self.number, work
+        )
+        outcome, result = (
+            (answer, b"") if isinstance(answer, str) else (OUTCOMES_BY_CODE[answer[0]], answer[2])
+        )
         if outcome == CUT:
-            await self.world.look_whether_dead(life)
-        one = Try(key, workload, call, life, outcome, result, self.world.life, time.monotonic())
-        self.world.tries.append(one)
-        return one
-
-    async def submit(self, key, workload, wait=2.0, most=40):
-        """Until it is answered, and now and then once more: an answer may have been lost behind the gateway.
-        Unrepeatable work is sent again only where it was surely not run."""
-        seen = 0
+            await self.environment.look_whether_dead(life)
+        attempt = Try(key, workload, call, life, outcome, result, self.environment.life, time.monotonic())
+        self.environment.tries.append(attempt)
+        return attempt
+
+    async def submit(self, key, workload, timeout_s=2.0, most=40):
+        """Send a submission until it is answered, and sometimes again, up to a limit.
+
+        It is sent again after an answer because that may be lost behind the gateway. Work that may not be
+        repeated is sent again only after a rejection, when it surely has not run.
+        """
+        final_answers = 0
         for _ in range(most):
-            one = await self.once(key, workload, wait)
-            if one is None or one.outcome == TURNED_BACK:
-                await asyncio.sleep(0.02 + 0.05 * self.world.random_source.random())
+            attempt = await self.once(key, workload, timeout_s)
+            if attempt is None or attempt.outcome == TURNED_BACK:
+                await asyncio.sleep(0.02 + 0.05 * self.environment.random_source.random())
                 continue
             if workload == "file":
                 return
-            if one.outcome == DELIVERED:
-                seen += 1
-                if seen > 2 or self.world.random_source.random() < 0.6:
+            if attempt.outcome == DELIVERED:
+                final_answers += 1
+                if final_answers > 2 or self.environment.random_source.random() < 0.6:
                     return
-            elif one.outcome == WRITTEN_OFF:
-                seen += 1
-                if seen > 3:
+            elif attempt.outcome == WRITTEN_OFF:
+                final_answers += 1
+                if final_answers > 3:
                     return
-            await asyncio.sleep(0.1 * self.world.random_source.random())
+            await asyncio.sleep(0.1 * self.environment.random_source.random())
 
     def close(self):
+        """Stop reading from the connection."""
         if self.connection is not None:
             self.connection.task.cancel()
--- a/valeturn/lab/restarts.py
+++ b/valeturn/lab/restarts.py
@@ -1,8 +1,7 @@
-"""`lab restarts`: a server killed and started again in place, thousands of times, under gateways that never
-stop.
+"""`lab restarts`: kill and restart servers in place, thousands of times, under gateways that never stop.
 
-Half of the lanes have an executor that tells ends from before a restart, half one that forgets them. Four
-kills in ten come at a chosen point of the store's work on the disk, the others at any moment.
+Half of the lanes have an executor that reports runs which ended before a restart, half one that forgets them.
+Four kills in ten come at a chosen disk operation of the store, the others at any moment.
 """
 
 from __future__ import annotations
@@ -25,10 +24,10 @@
 from .gateways import Gateway
 from .services import ledger, listen, naming
 
-WINDOW = 30.0  # s in which repeats come: far longer than a key is sent again here
-LONGEST_LIFE = 0.35  # s from the first answer to the kill, at the most: some dozen submissions
-RELOAD_SHARE = 0.2  # of the kills, with a SIGHUP right before: a reload, whatever the store is doing
-GATEWAYS, AT_ONCE = 3, 5  # gateways a lane, and scripts on each
+DEDUPLICATION_WINDOW_S = 30.0  # far longer than a key is repeated here
+LONGEST_INCARNATION_S = 0.35  # from the first answer to the kill, at most: some dozen submissions
+RELOAD_SHARE = 0.2  # of the kills: a SIGHUP right before starts a reload, whatever the store is doing
+GATEWAYS_PER_LANE, SCRIPTS_PER_GATEWAY = 3, 5  # scripts submit concurrently
 SETTINGS = """[store]
 folder = {folder}
 disk = 8 MB
@@ -36,14 +35,15 @@
 segment = 128 kB
 retry = 100 ms
 """
-POINTS = ("write", "sync", "synced", "create", "rename", "remove", "sync_folder")
+# Operations of the store's directory that victim.py can end the process at.
+KILL_OPERATIONS = ("write", "sync", "synced", "create", "rename", "remove", "sync_folder")
 
 
-def configuration(addresses, listen_at, seed):
-    """A small installation with one workload of each kind."""
+def configuration(addresses, listen_address, seed):
+    """Return the configuration of a small installation with one workload of each kind."""
     return {
         "name": "lab",
-        "listen": "%s:%d" % listen_at,
+        "listen": "%s:%d" % listen_address,
         "seed": f"{seed:x}",
         "stop_ms": 3000,
         **{name: "%s:%d" % address for name, address in addresses.items()},
@@ -59,7 +59,7 @@
                     "goal_time_ms": 1500,
                     "give_up_ms": 2000,
                     "worth": 3,
-                    "window_ms": 1000 * WINDOW,
+                    "window_ms": 1000 * DEDUPLICATION_WINDOW_S,
                 },
                 {"name": "file", "semantics": "unsafe", "goal_time_ms": 1500, "give_up_ms": 2000, "worth": 3},
             ],
@@ -85,19 +85,30 @@
 
 
 class Lane:
-    """One server with parties, gateways and a folder of its own."""
+    """One server with its own stand-in services, gateways and folder."""
 
     def __init__(self, folder, number, seed, kills, store=True, reload_share=RELOAD_SHARE):
-        """store: False serves without one, which must show effects twice: the checker's own check."""
+        """Set up a lane, without starting anything.
+
+        Args:
+            folder: For the server's files.
+            number: Of the lane; an even one has an executor that keeps its notices.
+            seed: Of the lane's random draws, together with its number.
+            kills: How often the server is killed.
+            store: False runs without the result store. Effects must then happen twice, which shows that the
+                checker works.
+            reload_share: The share of kills with a SIGHUP right before.
+        """
         self.folder, self.number, self.kills, self.store = folder, number, kills, store
         self.reload_share = reload_share
         self.random_source = SeededRandom(seed * 1000003 + number)
         self.life, self.tries, self.doubled, self.process = 0, [], [], None
-        self.deaths = {}  # life -> when its process was seen to have been killed
-        self.calls = self.made = self.chosen = self.died_early = 0
+        self.deaths = {}  # incarnation -> monotonic time when its process was seen to be dead
+        self.calls = self.made = self.kills_at_chosen_point = self.unplanned_exits = 0
         self.executor = Executor(self.plan, kept=64 if number % 2 == 0 else 0)
 
     def plan(self, workload, body):
+        """Draw the duration and the outcome of one run."""
         share = self.random_source.random()
         return Plan(
             0.002 + 0.03 * share * share,
@@ -107,10 +118,12 @@
         )
 
     def new_call(self):
+        """Return a new submission id, unique among all lanes."""
         self.calls += 1
         return f"{self.number:04x}{self.calls:012x}"
 
     async def set_up(self):
+        """Start the stand-in services and write the server's files."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self.servers, addresses = [], {}
         for name, serve in (("executor", self.executor.serve), ("ledger", ledger), ("naming", naming())):
@@ -122,24 +135,26 @@
         self.settings.write_text(SETTINGS.format(folder=self.folder / "kept"))
 
     async def start(self, point=None):
+        """Start the next incarnation; with a point, it kills itself there (see victim.py)."""
         self.life += 1
-        words = ["-m", "valeturn", "serve", "--config", str(self.config)]
-        words += ["--settings", str(self.settings)] if self.store else []
+        arguments = ["-m", "valeturn", "serve", "--config", str(self.config)]
+        arguments += ["--settings", str(self.settings)] if self.store else []
         if point is not None:
-            words = ["-m", "valeturn.lab.victim", str(self.config), str(self.settings), point]
+            arguments = ["-m", "valeturn.lab.victim", str(self.config), str(self.settings), point]
         log = open(self.folder / "log", "ab")
         root = pathlib.Path(__file__).resolve().parents[2]
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
-            *words,
+            *arguments,
             cwd=root,
             stdout=log,
             stderr=log,
-            env={k: v for k, v in os.environ.items() if not k.startswith("EDGE_")},
+            env={name: value for name, value in os.environ.items() if not name.startswith("EDGE_")},
         )
         log.close()
 
     async def kill(self):
+        """Kill the process if it still runs, and note its death or its unplanned exit."""
         if self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 self.process.kill()
@@ -147,38 +162,46 @@
         if code == -signal.SIGKILL:
             self.deaths.setdefault(self.life, time.monotonic())
         else:
-            self.died_early += 1
+            self.unplanned_exits += 1
 
     async def look_whether_dead(self, life):
-        """After a cut: a process that ended itself shows so at once, though its parent may be told much
-        later, when a thread of it that waits for the disk has ended too."""
+        """After a cut connection, note the death of the process if it has ended itself.
+
+        /proc shows the end at once, but the parent may be notified much later, when a thread of the process
+        that waits for the disk has ended, too.
+        """
         for _ in range(50):
             if life != self.life or life in self.deaths:
                 return
-            if self.ended():
+            if self.has_ended():
                 self.deaths[life] = time.monotonic()
                 return
             await asyncio.sleep(0.005)
 
-    def ended(self):
+    def has_ended(self):
+        """Return whether the process is dead or a zombie."""
         try:
             with open(f"/proc/{self.process.pid}/stat", encoding="ascii") as file:
                 return file.read().rpartition(")")[2].split()[0] in "ZX"
         except OSError:
             return True
 
-    def next_point(self):
+    def draw_kill_point(self):
+        """Draw the point at which the next incarnation kills itself, or None for six in ten."""
         if self.random_source.random() >= 0.4:
             return None
-        self.chosen += 1
-        what = POINTS[int(self.random_source.random() * len(POINTS))]
-        most = {"write": 40, "sync": 40, "synced": 40}.get(what, 4)
-        return f"{what}:{1 + int(most * self.random_source.random())}:{self.random_source.random():.3f}"
+        self.kills_at_chosen_point += 1
+        operation = KILL_OPERATIONS[int(self.random_source.random() * len(KILL_OPERATIONS))]
+        highest_count = {"write": 40, "sync": 40, "synced": 40}.get(operation, 4)
+        return (
+            f"{operation}:{1 + int(highest_count * self.random_source.random())}:"
+            f"{self.random_source.random():.3f}"
+        )
 
-    async def script(self, gateway, number):
-        """Sends one key after another; one in ten goes out on all gateways at once."""
+    async def run_script(self, gateway, number):
+        """Submit one key after another; one in ten of the workload book goes out on all gateways at once."""
         count = 0
-        while not self.over:
+        while not self.stopping:
             count += 1
             key = f"parcel-{self.number}-{gateway.number}-{number}-{count}"
             share = self.random_source.random()
@@ -189,34 +212,39 @@
                 await gateway.submit(key, workload)
 
     async def run(self, progress=lambda lane: None):
+        """Make all kills, stop the server gracefully and return the verdict.
+
+        Args:
+            progress: Called with the lane after each kill.
+        """
         await self.set_up()
-        self.over = False
-        self.gateways = [Gateway(self.address, n, self) for n in range(GATEWAYS)]
+        self.stopping = False
+        self.gateways = [Gateway(self.address, number, self) for number in range(GATEWAYS_PER_LANE)]
         await self.start()
-        scripts = [
-            asyncio.get_running_loop().create_task(self.script(g, n))
-            for g in self.gateways
-            for n in range(AT_ONCE)
+        script_tasks = [
+            asyncio.get_running_loop().create_task(self.run_script(gateway, number))
+            for gateway in self.gateways
+            for number in range(SCRIPTS_PER_GATEWAY)
         ]
         for _ in range(self.kills):
             await self.wait_until_served()
-            wait = LONGEST_LIFE * self.random_source.random()
+            service_s = LONGEST_INCARNATION_S * self.random_source.random()
             if self.random_source.random() < self.reload_share and self.process.returncode is None:
-                with contextlib.suppress(ProcessLookupError):  # it has just ended itself
+                with contextlib.suppress(ProcessLookupError):  # the process has just ended itself
                     self.process.send_signal(signal.SIGHUP)
             try:
-                await asyncio.wait_for(self.process.wait(), wait)
+                await asyncio.wait_for(self.process.wait(), service_s)
             except asyncio.TimeoutError:
                 pass
             await self.kill()
             self.made += 1
             progress(self)
-            await self.start(self.next_point())
+            await self.start(self.draw_kill_point())
         await self.kill()
         await self.start()
         await self.wait_until_served()
-        self.over = True
-        await asyncio.wait_for(asyncio.gather(*scripts), 120)
+        self.stopping = True
+        await asyncio.wait_for(asyncio.gather(*script_tasks), 120)
         for gateway in self.gateways:
             gateway.close()
         self.process.send_signal(signal.SIGTERM)
@@ -227,7 +255,7 @@
         return check(self.tries, self.doubled, self.executor, self.deaths)
 
     async def wait_until_served(self):
-        """Until this life answered something, died by itself, or was given a second more than starts take."""
+        """Wait until this incarnation has answered or ended, for at most 3 s: 1 s more than a start takes."""
         count = len(self.tries)
         for _ in range(600):
             if self.process.returncode is not None:
@@ -238,23 +266,30 @@
 
 
 async def play(kills, seed, lanes, folder, progress=lambda lane: None, store=True, reload_share=RELOAD_SHARE):
+    """Spread the kills over concurrent lanes; return the verdict of all of them and the lanes."""
     lanes = max(1, min(lanes, kills))
-    share = [kills // lanes + (n < kills % lanes) for n in range(lanes)]
-    all_lanes = [Lane(folder / f"lane-{n}", n, seed, share[n], store, reload_share) for n in range(lanes)]
+    kills_by_lane = [kills // lanes + (n < kills % lanes) for n in range(lanes)]
+    all_lanes = [
+        Lane(folder / f"lane-{n}", n, seed, kills_by_lane[n], store, reload_share) for n in range(lanes)
+    ]
     verdicts = await asyncio.gather(*(lane.run(progress) for lane in all_lanes))
-    sums = [sum(getattr(v, field) for v in verdicts) for field in ("submissions", "effects")]
-    lists = [[one for v in verdicts for one in getattr(v, field)] for field in ("twice", "lost", "wrong")]
-    return Verdict(*sums, *lists, sum(v.answered_from_store for v in verdicts)), all_lanes
+    sums = [sum(getattr(verdict, field) for verdict in verdicts) for field in ("submissions", "effects")]
+    lists = [
+        [one for verdict in verdicts for one in getattr(verdict, field)]
+        for field in ("twice", "lost", "wrong")
+    ]
+    return Verdict(*sums, *lists, sum(verdict.answered_from_store for verdict in verdicts)), all_lanes
 
 
 def main(kills, seed, lanes, keep=None):
+    """Play, print the figures, and return 1 when a rule was broken; the folder `keep` is not removed."""
     folder = pathlib.Path(keep or tempfile.mkdtemp(prefix="valeturn-lab-"))
-    said = [0]
+    kill_count = [0]
 
     def progress(lane):
-        said[0] += 1
-        if said[0] % 100 == 0:
-            print(f"killed {said[0]} times", file=sys.stderr, flush=True)
+        kill_count[0] += 1
+        if kill_count[0] % 100 == 0:
+            print(f"killed {kill_count[0]} times", file=sys.stderr, flush=True)
 
     try:
         verdict, all_lanes = asyncio.run(play(kills, seed, lanes, folder, progress))
@@ -265,10 +300,10 @@
         for one in getattr(verdict, name)[:10]:
             print(f"{name}: {one}", file=sys.stderr)
     made = sum(lane.made for lane in all_lanes)
-    chosen = sum(lane.chosen for lane in all_lanes)
+    kills_at_chosen_point = sum(lane.kills_at_chosen_point for lane in all_lanes)
     print(
-        f"lanes={len(all_lanes)} at_chosen_points={chosen} "
-        f"ended_otherwise={sum(lane.died_early for lane in all_lanes)}"
+        f"lanes={len(all_lanes)} at_chosen_points={kills_at_chosen_point} "
+        f"ended_otherwise={sum(lane.unplanned_exits for lane in all_lanes)}"
     )
     print(verdict.line(kills=made))
     return 0 if verdict.good() else 1
--- a/valeturn/lab/services.py
+++ b/valeturn/lab/services.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the ledger and the name service, and how all stand-ins are served."""
+"""Stand-ins for the ledger and the name service, and the HTTP server that all stand-in services share."""
 
 from __future__ import annotations
 
@@ -6,7 +6,11 @@
 
 
 async def http(reader, writer, answer):
-    """Reads requests one after another and writes what `answer(first line, body)` makes of each."""
+    """Serve HTTP requests one after another.
+
+    Args:
+        answer: Called with the request line and the body; returns the status line's text and the body.
+    """
     while head := (await reader.readuntil(b"\r\n\r\n")).decode():
         lines = [line.partition(": ") for line in head.split("\r\n")[1:]]
         length = next((int(value) for name, _, value in lines if name.lower() == "content-length"), 0)
@@ -15,13 +19,16 @@
 
 
 async def ledger(reader, writer):
-    await http(reader, writer, lambda first, body: ("200 OK", b"[" + body + b"]"))
+    """Serve a ledger that answers every call with its body in brackets."""
+    await http(reader, writer, lambda request_line, body: ("200 OK", b"[" + body + b"]"))
+
 
+def naming(on_report=lambda line: None):
+    """Return a name service that passes each report as a line to the callback."""
 
-def naming(said=lambda line: None):
     async def serve(reader, writer):
-        def answer(first, body):
-            said(f"{first} {body.decode()}")
+        def answer(request_line, body):
+            on_report(f"{request_line} {body.decode()}")
             return "204 No Content", b""
 
         await http(reader, writer, answer)
@@ -29,8 +36,8 @@
     return serve
 
 
-def quietly(serve):
-    """Peers that are killed end their connection as they like; the loop may end first."""
+def ignoring_disconnects(serve):
+    """Wrap a connection handler so that an abrupt end of the peer or of the event loop is no error."""
 
     async def connection(reader, writer):
         try:
@@ -44,6 +51,6 @@
 
 
 async def listen(serve, address=("127.0.0.1", 0)):
-    """(the server, its address)"""
-    server = await asyncio.start_server(quietly(serve), *address)
+    """Start a server and return it with its address."""
+    server = await asyncio.start_server(ignoring_disconnects(serve), *address)
     return server, server.sockets[0].getsockname()
--- a/valeturn/lab/soak.py
+++ b/valeturn/lab/soak.py
@@ -1,8 +1,9 @@
-"""`lab soak`: one server, stopped and started again in place by a schedule, under callers that never stop.
+"""`lab soak`: restart one server in place by a schedule, under callers that never stop.
 
-The callers go on using their connections until they end, also those that were asked to close. The checkers of
-the floods judge: one final answer each, no effect twice, ends in time and with code 0. Besides: nothing runs
-that came after the grace, each life serves in time, and no process or descriptor is left behind.
+The callers use their connections until these end, even when the server has asked to close them. The checker
+of floods.py applies: one final answer for each submission, no effect twice, exits in time and with code 0. In
+addition nothing may run that was sent after the drain grace, each incarnation serves in time, and no process
+or descriptor is left behind.
 """
 
 from __future__ import annotations
@@ -22,18 +23,18 @@
 from . import floods
 from .addresses import reserve_address
 from .executor import Executor
-from .soak_schedule import Ending, OperatorFile, ScheduledLife, Signal, SoakSchedule, draw_schedule
-
-LIVES: Final = 8  # of a seed, before the last one
-MARKER: Final = "VALETURN_SOAK"  # an environment variable that all processes of one seed inherit
-GRACE: Final = floods.GRACE
-NOTICE_DELAY: Final = 0.25  # s until a server on a loaded machine has met its notice, from which it counts
-LEFT_BEHIND_AFTER: Final = 2.0  # s after the end of a server at which nothing that it started may live
-QUIET: Final = 3.0  # s in which a server without callers closes what it opened for them
-SPARE_DESCRIPTORS: Final = 2  # the connections to the ledger and to the registry come and go
-KEY_PADDING: Final = 600  # characters: so that a small store compacts its log several times a life
+from .soak_schedule import Ending, OperatorFile, ScheduledIncarnation, Signal, SoakSchedule, draw_schedule
+
+INCARNATIONS: Final = 8  # of a seed, before the last one, which ends once the callers have gone
+MARKER_VARIABLE: Final = "VALETURN_SOAK"  # an environment variable that all processes of one seed inherit
+DRAIN_GRACE_S: Final = floods.DRAIN_GRACE_S
+SIGNAL_HANDLING_DELAY_S: Final = 0.25  # until a loaded machine has handled SIGTERM, when the grace begins
+CLEANUP_TIMEOUT_S: Final = 2.0  # after the end of a server nothing that it started may run longer
+DESCRIPTOR_TIMEOUT_S: Final = 3.0  # for a server without callers to close what it opened for them
+SPARE_DESCRIPTORS: Final = 2  # connections to the ledger and the name service come and go
+KEY_PADDING_CHARACTERS: Final = 600  # make a small store compact its log several times an incarnation
 SIGNALS: Final = {one: getattr(signal, one.value) for one in Signal}
-SECTIONS: Final = {
+SECTIONS_BY_FILE: Final = {
     OperatorFile.CONTROL: "[control]\nsocket = {folder}/control.sock\n",
     OperatorFile.STORE: (
         "[store]\nfolder = {folder}/kept\ndisk = 1 MB\nmemory = 2 MB\nsegment = 66 kB\nretry = 100 ms\n"
@@ -47,278 +48,289 @@
 }
 
 
-class Found(NamedTuple):
-    """What the checkers found in one seed."""
+class SoakViolations(NamedTuple):
+    """The violations in one seed; the field names are keys of the printed report."""
 
     lost: list
     twice: list
     wrong: list
     crashed: list
     faults: list
-    late: list  # requests that ran though they came after the grace
-    left_behind: list  # processes or descriptors
+    late: list  # submissions that ran though they were sent after the drain grace
+    left_behind: list  # processes, descriptors or listening sockets that outlived their server
 
     def good(self) -> bool:
-        """Return whether nothing was found."""
+        """Return whether there is no violation."""
         return not any(self)
 
 
 class SoakServer(floods.Server):
-    """The server, through the lives of its schedule."""
+    """The server, through the incarnations of its schedule."""
 
     def set_up_file(self) -> None:
-        """Write the operator's file, where the schedule has one."""
-        kind = self.world.schedule.operator_file
+        """Write the operator's file, if the schedule has one."""
+        kind = self.environment.schedule.operator_file
         self.settings = self.folder / "valeturn.ini"
-        self.notices: dict[int, float] = {}  # life -> when its notice was sent, monotonic s
-        self.text = None
+        self.sigterm_sent_at: dict[int, float] = {}  # incarnation -> monotonic time in seconds
+        self.settings_text = None
         if kind is not OperatorFile.NONE:
-            peers = "%s:%d" % reserve_address()
-            self.text = SECTIONS[kind].format(folder=self.folder, peers=peers)
-            self.settings.write_text(self.text)
-
-    def begin(self) -> None:
-        """Start the next life."""
-        self.life += 1
-        self.executors[self.life] = Executor(self.plan)
-        settings = ["--settings", str(self.settings)] if self.text is not None else []
+            peer_address = "%s:%d" % reserve_address()
+            self.settings_text = SECTIONS_BY_FILE[kind].format(folder=self.folder, peers=peer_address)
+            self.settings.write_text(self.settings_text)
+
+    def start_process(self) -> None:
+        """Start the next incarnation."""
+        self.incarnation += 1
+        self.executors[self.incarnation] = Executor(self.plan)
+        settings = ["--settings", str(self.settings)] if self.settings_text is not None else []
         with open(self.folder / "log", "ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, *self.world.serve, str(self.config), *settings],
-                cwd=self.world.root,
+                [sys.executable, *self.environment.serve, str(self.config), *settings],
+                cwd=self.environment.root,
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                env={**self.world.env, MARKER: self.world.marker},
+                env={**self.environment.env, MARKER_VARIABLE: self.environment.marker},
             )
 
-    async def live(self, life: ScheduledLife) -> None:
-        """Play one life that has begun, and begin the next one."""
-        if life.ending is Ending.NOTICE_DURING_START:
-            await asyncio.sleep(life.service)
-            await self.end_by_notice(life)
+    async def play_incarnation(self, incarnation: ScheduledIncarnation) -> None:
+        """Play one incarnation whose process was started, and start the next one."""
+        if incarnation.ending is Ending.SIGTERM_DURING_START:
+            await asyncio.sleep(incarnation.service_s)
+            await self.end_by_sigterm(incarnation)
         else:
-            await self.serving()
-            crowd = [asyncio.ensure_future(self.visit(self.rest)) for _ in range(life.crowd)]
-            await asyncio.sleep(life.service)
-            await self.end(life)
-            for visitor in crowd:
+            await self.wait_until_serving()
+            idle_connections = [
+                asyncio.ensure_future(self.run_connection(self.idle_until_closed))
+                for _ in range(incarnation.idle_connections)
+            ]
+            await asyncio.sleep(incarnation.service_s)
+            await self.end_incarnation(incarnation)
+            for visitor in idle_connections:
                 visitor.cancel()
-        await self.look_for_processes()
-        self.begin()
+        await self.check_processes_ended()
+        self.start_process()
 
-    async def end(self, life: ScheduledLife) -> None:
-        """End a life that serves."""
+    async def end_incarnation(self, incarnation: ScheduledIncarnation) -> None:
+        """End an incarnation that serves, as the schedule says."""
         if self.process.poll() is not None:
-            self.crashed.append((f"code {self.process.returncode}", self.number, self.life))
-        elif life.ending is Ending.NOTICE:
-            await self.end_by_notice(life)
-        elif life.ending is Ending.NOTICE_AND_KILL:
-            await self.end_by_notice_and_kill(life)
+            self.crashed.append((f"code {self.process.returncode}", self.number, self.incarnation))
+        elif incarnation.ending is Ending.SIGTERM:
+            await self.end_by_sigterm(incarnation)
+        elif incarnation.ending is Ending.SIGTERM_AND_KILL:
+            await self.end_by_sigterm_and_kill(incarnation)
         else:
-            await self.end_by_kill(life)
+            await self.end_by_kill(incarnation)
 
-    async def send_series(self, life: ScheduledLife) -> None:
-        """Send the series of signals, and note when the first notice was sent."""
-        for one in life.signals:
-            if one.signal is Signal.NOTICE:
-                self.notices.setdefault(self.life, time.monotonic())
+    async def send_signals(self, incarnation: ScheduledIncarnation) -> None:
+        """Send the scheduled signals, and note when the first SIGTERM was sent."""
+        for one in incarnation.signals:
+            if one.signal is Signal.TERMINATE:
+                self.sigterm_sent_at.setdefault(self.incarnation, time.monotonic())
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(SIGNALS[one.signal])
-            await asyncio.sleep(one.pause)
-
-    async def end_by_notice(self, life: ScheduledLife) -> None:
-        """Let the process end by itself after its notice."""
-        held = self.holds_signals()
-        await self.send_series(life)
-        code = await self.ended(self.process, floods.STOP + floods.LATE)
-        if code is not None and code < 0 and not held:
-            return  # before Python runs the first line a signal ends the process: docs/design/endings.md
+            await asyncio.sleep(one.pause_s)
+
+    async def end_by_sigterm(self, incarnation: ScheduledIncarnation) -> None:
+        """Send SIGTERM and note a violation unless the process exits in time with code 0."""
+        handled = self.handles_signals()
+        await self.send_signals(incarnation)
+        code = await self.wait_for_exit(self.process, floods.STOP_TIMEOUT_S + floods.EXIT_SLACK_S)
+        if code is not None and code < 0 and not handled:
+            return  # until Python runs its first line a signal ends the process: docs/design/endings.md
         if code != 0:
-            self.crashed.append(("hangs" if code is None else f"code {code}", self.number, self.life))
+            self.crashed.append(("hangs" if code is None else f"code {code}", self.number, self.incarnation))
             self.kill_process()
 
-    def holds_signals(self) -> bool:
-        """Return whether the process has begun to handle its signals."""
+    def handles_signals(self) -> bool:
+        """Return whether the process has installed its signal handlers."""
         status = pathlib.Path(f"/proc/{self.process.pid}/status").read_text()
         caught = int(status.partition("SigCgt:")[2].split()[0], 16)
         return all(caught >> (number - 1) & 1 for number in SIGNALS.values())
 
-    async def end_by_notice_and_kill(self, life: ScheduledLife) -> None:
-        """Kill at the stop, as the platform does; what was read has its answers by then."""
-        await self.send_series(life)
-        stop = self.notices[self.life] + floods.STOP
-        await self.ended(self.process, max(0.0, stop - time.monotonic()))
+    async def end_by_sigterm_and_kill(self, incarnation: ScheduledIncarnation) -> None:
+        """Kill at the stop timeout, as the platform does; what was read is answered by then."""
+        await self.send_signals(incarnation)
+        stop = self.sigterm_sent_at[self.incarnation] + floods.STOP_TIMEOUT_S
+        await self.wait_for_exit(self.process, max(0.0, stop - time.monotonic()))
         self.kill_process()
 
-    async def end_by_kill(self, life: ScheduledLife) -> None:
-        """Kill at a moment of the schedule, with or without a reload under way."""
-        await self.send_series(life)
-        if life.ending is Ending.KILL_DURING_HELD_RELOAD:
+    async def end_by_kill(self, incarnation: ScheduledIncarnation) -> None:
+        """Kill at the scheduled moment, with or without a reload under way."""
+        await self.send_signals(incarnation)
+        if incarnation.ending is Ending.KILL_DURING_HELD_RELOAD:
             self.settings.unlink()
             os.mkfifo(self.settings)
-        if life.ending is not Ending.KILL:
+        if incarnation.ending is not Ending.KILL:
             self.process.send_signal(signal.SIGHUP)
-            await asyncio.sleep(life.kill_delay)
+            await asyncio.sleep(incarnation.kill_delay_s)
         self.kill_process()
-        self.killed[self.life] = time.monotonic()
-        if life.ending is Ending.KILL_DURING_HELD_RELOAD:
-            await self.connect_to_nobody()
+        self.killed_at[self.incarnation] = time.monotonic()
+        if incarnation.ending is Ending.KILL_DURING_HELD_RELOAD:
+            await self.check_address_closed()
             self.settings.unlink()
-            self.settings.write_text(self.text)
+            self.settings.write_text(self.settings_text)
 
     def kill_process(self) -> None:
-        """Kill the server's process and take its executor's connections down with it."""
+        """Kill the server's process and cancel its executor's runs."""
         self.process.kill()
         self.process.wait()
-        self.executors[self.life].close()
+        self.executors[self.incarnation].close()
 
-    async def connect_to_nobody(self) -> None:
-        """Look whether the address of a killed server still takes connections."""
+    async def check_address_closed(self) -> None:
+        """Note a violation if the address of a killed server still accepts connections."""
         with contextlib.suppress(OSError):
             _, writer = await asyncio.open_connection(*self.address)
             writer.close()
-            self.left_behind.append(("a socket that listens", self.life))
+            self.left_behind.append(("a socket that listens", self.incarnation))
 
-    async def look_for_processes(self) -> None:
-        """Look whether what a life has started has ended with it."""
-        deadline = time.monotonic() + LEFT_BEHIND_AFTER
-        while found := marked_processes(self.world.marker):
+    async def check_processes_ended(self) -> None:
+        """Note a violation if processes that an incarnation started outlive it."""
+        deadline = time.monotonic() + CLEANUP_TIMEOUT_S
+        while found := marked_processes(self.environment.marker):
             if time.monotonic() > deadline:
-                self.left_behind.append(("processes", self.life, found))
+                self.left_behind.append(("processes", self.incarnation, found))
                 return
             await asyncio.sleep(0.02)
 
     def descriptors(self) -> int:
-        """Return how many descriptors the process has open."""
+        """Return the number of descriptors that the process has open."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
 
 def marked_processes(marker: str) -> list[str]:
-    """Return the command lines of live processes that have this marker in their environment."""
+    """Return the command lines of running processes with this marker in their environment."""
     found = []
     for entry in pathlib.Path("/proc").iterdir():
         if entry.name.isdigit():
             with contextlib.suppress(OSError):
-                if f"{MARKER}={marker}".encode() in (entry / "environ").read_bytes():
+                if f"{MARKER_VARIABLE}={marker}".encode() in (entry / "environ").read_bytes():
                     found.append((entry / "cmdline").read_bytes().replace(b"\0", b" ").decode())
     return found
 
 
-class SoakWorld(floods.World):
-    """One server with its parties and its callers."""
+class SoakEnvironment(floods.Environment):
+    """One server with its stand-in services and its callers."""
 
     def __init__(
-        self, folder: pathlib.Path, schedule: SoakSchedule, serve: tuple[str, ...], grace: float
+        self, folder: pathlib.Path, schedule: SoakSchedule, serve: tuple[str, ...], drain_grace_s: float
     ) -> None:
-        """Make the world of one schedule.
+        """Set up the environment of one schedule.
 
         Args:
             folder: For the server's files.
-            schedule: What is played.
-            serve: The interpreter's words that serve.
-            grace: The grace in seconds that the server is configured with; another one than GRACE is a fault
-                that the checker has to find.
+            schedule: The incarnations to play.
+            serve: Arguments of the Python interpreter that start a server.
+            drain_grace_s: The grace in seconds that the server is configured with; a longer one than
+                DRAIN_GRACE_S is a fault that the checker has to find.
         """
         super().__init__(folder, schedule.seed, 0, serve)
         self.schedule = schedule
         self.marker = f"{os.getpid()}-{folder.name}-{schedule.seed}"
-        self.grace = grace
+        self.drain_grace_s = drain_grace_s
         self.server = SoakServer(self, 0)
         self.server.left_behind = []
         self.server.set_up_file()
         self.servers = [self.server]
-        self.padding = "x" * KEY_PADDING if schedule.operator_file is OperatorFile.STORE else ""
+        self.padding = "x" * KEY_PADDING_CHARACTERS if schedule.operator_file is OperatorFile.STORE else ""
 
-    async def connection(self, server, held):
-        """Return the connection that is held, until it has ended: a request to close it is not heeded."""
-        if held[0] is not None and not held[0].ended:
-            return held
-        return await super().connection(server, held)
+    async def connection(self, server, slot):
+        """Return the connection in the slot until it ends; the server's request to close it is ignored."""
+        if slot[0] is not None and not slot[0].ended:
+            return slot
+        return await super().connection(server, slot)
 
-    async def once(self, server, held, key):
-        """Send one request, under a key that is long where the store's log is to be compacted."""
-        await super().once(server, held, key + self.padding)
+    async def submit_once(self, server, slot, key):
+        """Send one submission; its key is long when the store's log is to be compacted."""
+        await super().submit_once(server, slot, key + self.padding)
 
-    async def play_schedule(self) -> Found:
-        """Play all lives and one more, which ends by a notice once the callers have gone."""
+    async def play_schedule(self) -> SoakViolations:
+        """Play all incarnations and one more, which ends by SIGTERM once the callers have gone."""
         server = self.server
-        self.ledgers = [(await floods.listen(self.ledger.serve))[1]]
-        self.namings = [(await floods.listen(self.naming.serve))[1]]
+        self.ledger_addresses = [(await floods.listen(self.ledger.serve))[1]]
+        self.name_service_addresses = [(await floods.listen(self.name_service.serve))[1]]
         await server.set_up()
-        server.begin()
-        scripts = [asyncio.ensure_future(self.caller(server, n)) for n in range(floods.CALLERS)]
-        for life in self.schedule.lives:
-            await server.live(life)
-        await server.serving()
-        if server.process.poll() is not None:  # it was noted that it does not serve
-            self.over = True
-            return self.judge()
+        server.start_process()
+        caller_tasks = [
+            asyncio.ensure_future(self.run_caller(server, number))
+            for number in range(floods.GATEWAYS_PER_SERVER)
+        ]
+        for incarnation in self.schedule.incarnations:
+            await server.play_incarnation(incarnation)
+        await server.wait_until_serving()
+        if server.process.poll() is not None:  # already noted as a violation
+            self.stopping = True
+            return self.find_violations()
         before = server.descriptors()
         await asyncio.sleep(1.0)
-        self.over = True
-        await asyncio.gather(*scripts)
+        self.stopping = True
+        await asyncio.gather(*caller_tasks)
         for connection in self.connections:
             connection.task.cancel()
             connection.writer.close()
-        await self.look_for_descriptors(before)
-        await server.leave()
-        await server.look_for_processes()
-        return self.judge()
-
-    async def look_for_descriptors(self, before: int) -> None:
-        """Look whether the server has closed what it opened for its callers."""
-        deadline = time.monotonic() + QUIET
+        await self.check_descriptors_closed(before)
+        await server.stop_gracefully()
+        await server.check_processes_ended()
+        return self.find_violations()
+
+    async def check_descriptors_closed(self, before: int) -> None:
+        """Note a violation unless the server closes what it opened for its callers."""
+        deadline = time.monotonic() + DESCRIPTOR_TIMEOUT_S
         while (now := self.server.descriptors()) > before + SPARE_DESCRIPTORS:
             if time.monotonic() > deadline:
                 self.server.left_behind.append(("descriptors", before, now))
                 return
             await asyncio.sleep(0.05)
 
-    def judge(self) -> Found:
-        """Return what the checkers found."""
+    def find_violations(self) -> SoakViolations:
+        """Return the violations of the whole schedule."""
         ran = {call for executor in self.server.executors.values() for call in executor.calls}
         late = [
             one
             for one in self.sent
-            if one.call in ran and one.sent > self.server.notices.get(one.life, 1e300) + GRACE + NOTICE_DELAY
+            if one.call in ran
+            and one.sent
+            > self.server.sigterm_sent_at.get(one.incarnation, 1e300)
+            + DRAIN_GRACE_S
+            + SIGNAL_HANDLING_DELAY_S
         ]
-        return Found(*self.witness(), late, self.server.left_behind)
+        return SoakViolations(*self.check_outcomes(), late, self.server.left_behind)
 
 
 def play(
     folder: pathlib.Path,
     seed: int,
-    lives: int = LIVES,
-    serve: tuple[str, ...] = floods.SERVE,
-    grace: float = GRACE,
-) -> tuple[Found, SoakWorld]:
-    """Play one seed."""
-    world = SoakWorld(folder, draw_schedule(seed, lives), serve, grace)
+    incarnations: int = INCARNATIONS,
+    serve: tuple[str, ...] = floods.SERVE_ARGUMENTS,
+    drain_grace_s: float = DRAIN_GRACE_S,
+) -> tuple[SoakViolations, SoakEnvironment]:
+    """Play one seed, and return its violations and its environment."""
+    environment = SoakEnvironment(folder, draw_schedule(seed, incarnations), serve, drain_grace_s)
     try:
-        return asyncio.run(world.play_schedule()), world
+        return asyncio.run(environment.play_schedule()), environment
     finally:
-        process = world.server.process
+        process = environment.server.process
         if process is not None and process.poll() is None:
             process.kill()
             process.wait()
 
 
 def main(seeds: range, out: TextIO) -> int:
-    """Print each seed's schedule and figures; return 1 where a checker found something."""
+    """Print each seed's schedule and figures; return 1 when there was a violation."""
     bad = 0
     for seed in seeds:
         folder = pathlib.Path(tempfile.mkdtemp(prefix="valeturn-soak-"))
-        found, world = play(folder, seed)
-        print(f"seed={seed} file={world.schedule.operator_file.value}", file=out)
-        for number, life in enumerate(world.schedule.lives, 1):
-            print(f"seed={seed} life={number} {life.describe()}", file=out)
+        found, environment = play(folder, seed)
+        print(f"seed={seed} file={environment.schedule.operator_file.value}", file=out)
+        for number, incarnation in enumerate(environment.schedule.incarnations, 1):
+            print(f"seed={seed} life={number} {incarnation.describe()}", file=out)
         for name, rows in found._asdict().items():
             for row in rows[:5]:
                 print(f"seed={seed} {name}: {row}", file=out)
         counts = " ".join(f"{name}={len(rows)}" for name, rows in found._asdict().items())
         print(
-            f"seed={seed} lives={world.server.life} submissions={len(world.sent)} {counts}",
+            f"seed={seed} lives={environment.server.incarnation} "
+            f"submissions={len(environment.sent)} {counts}",
             file=out,
             flush=True,
         )
--- a/valeturn/lab/soak_schedule.py
+++ b/valeturn/lab/soak_schedule.py
@@ -1,4 +1,4 @@
-"""Draw the schedule of a soak ahead of its play, so that a seed is a schedule and can be played again."""
+"""Draw the schedule of a soak run before it starts, so that a seed always gives the same schedule."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from ..transport.seeded_random import SeededRandom
 from .random_streams import warmed_up
 
-LONGEST_SERVICE: Final = 0.6  # s that a life serves before its ending begins
-CROWD_SHARE: Final = 0.25  # of the lives: a crowd of connections, near the limit of descriptors
-CROWD: Final = 60  # connections of a crowd; the server has 72 descriptors
-LONGEST_KILL_DELAY: Final = 0.25  # s from the last signal to a kill: a reload takes some 0.2 s
-LONGEST_SIGNAL_PAUSE: Final = 0.05  # s between two signals of a series
+LONGEST_SERVICE_S: Final = 0.6  # that an incarnation serves before its ending begins
+IDLE_CONNECTIONS_SHARE: Final = 0.25  # of the incarnations: many idle connections, near the limit
+IDLE_CONNECTIONS: Final = 60  # the server has 72 descriptors
+LONGEST_KILL_DELAY_S: Final = 0.25  # from the last signal to a kill: a reload takes about 0.2 s
+LONGEST_SIGNAL_PAUSE_S: Final = 0.05  # between two signals of a series
 
 DrawnT = TypeVar("DrawnT")
 
 
 class OperatorFile(Enum):
-    """What a seed's operator's file switches on."""
+    """The components that a seed's operator's file switches on."""
 
     NONE = "none"
     CONTROL = "control"
@@ -28,55 +28,58 @@
 
 
 class Signal(Enum):
-    """The signals that a server is sent; the values are their names."""
+    """The signals that a server is sent, by purpose; the values are the signals' names."""
 
     RELOAD = "SIGHUP"
     COUNTERS = "SIGUSR1"
-    NOTICE = "SIGTERM"
+    TERMINATE = "SIGTERM"
 
 
 class Ending(Enum):
-    """How a life ends, after its series of signals."""
+    """How an incarnation ends, after its series of signals."""
 
     KILL = "kill"
     KILL_DURING_RELOAD = "kill during a reload"
     KILL_DURING_HELD_RELOAD = "kill while the operator's file can't be read to its end"
-    NOTICE = "notice"
-    NOTICE_DURING_START = "notice during the start"
-    NOTICE_AND_KILL = "notice, and a kill at the stop"
+    SIGTERM = "notice"
+    SIGTERM_DURING_START = "notice during the start"
+    SIGTERM_AND_KILL = "notice, and a kill at the stop"
 
 
 class ScheduledSignal(NamedTuple):
     """One signal of a series."""
 
     signal: Signal
-    pause: float  # s after it
+    pause_s: float  # after it
 
 
-class ScheduledLife(NamedTuple):
-    """One life of the server's process."""
+class ScheduledIncarnation(NamedTuple):
+    """One incarnation of the server: a process from its start to its end."""
 
-    crowd: int  # connections that rest
-    service: float  # s from the first answer to the series of signals
+    idle_connections: int  # number of connections that stay idle
+    service_s: float  # seconds from the first answer to the series of signals
     signals: tuple[ScheduledSignal, ...]
     ending: Ending
-    kill_delay: float  # s from the last signal to a kill
+    kill_delay_s: float  # seconds from the last signal to a kill
 
     def describe(self) -> str:
-        """Return the life in a line."""
-        series = ",".join(one.signal.value for one in self.signals) or "-"
-        return f"serves={self.service:.2f}s crowd={self.crowd} signals={series} ending={self.ending.value!r}"
+        """Return the incarnation as one line of the report."""
+        signal_series = ",".join(one.signal.value for one in self.signals) or "-"
+        return (
+            f"serves={self.service_s:.2f}s crowd={self.idle_connections} signals={signal_series} "
+            f"ending={self.ending.value!r}"
+        )
 
 
 class SoakSchedule(NamedTuple):
-    """All that a seed decides."""
+    """Everything that a seed decides."""
 
     seed: int
     operator_file: OperatorFile
-    lives: tuple[ScheduledLife, ...]
+    incarnations: tuple[ScheduledIncarnation, ...]
 
 
-SERIES: Final[tuple[tuple[Signal, ...], ...]] = (
+SIGNAL_SERIES: Final[tuple[tuple[Signal, ...], ...]] = (
     (),
     (Signal.RELOAD,),
     (Signal.RELOAD, Signal.RELOAD),
@@ -84,42 +87,51 @@
     (Signal.COUNTERS, Signal.RELOAD),
     (Signal.COUNTERS,),
 )
-SERIES_WITH_NOTICE: Final[tuple[tuple[Signal, ...], ...]] = (
-    (Signal.NOTICE,),
-    (Signal.NOTICE, Signal.NOTICE),
-    (Signal.COUNTERS, Signal.NOTICE),
-    (Signal.NOTICE, Signal.COUNTERS),
-    (Signal.RELOAD, Signal.NOTICE),
-    (Signal.NOTICE, Signal.RELOAD),
-    (Signal.RELOAD, Signal.NOTICE, Signal.RELOAD, Signal.NOTICE),
+SIGNAL_SERIES_WITH_SIGTERM: Final[tuple[tuple[Signal, ...], ...]] = (
+    (Signal.TERMINATE,),
+    (Signal.TERMINATE, Signal.TERMINATE),
+    (Signal.COUNTERS, Signal.TERMINATE),
+    (Signal.TERMINATE, Signal.COUNTERS),
+    (Signal.RELOAD, Signal.TERMINATE),
+    (Signal.TERMINATE, Signal.RELOAD),
+    (Signal.RELOAD, Signal.TERMINATE, Signal.RELOAD, Signal.TERMINATE),
 )
-ENDINGS_BY_NOTICE: Final = (Ending.NOTICE, Ending.NOTICE_DURING_START, Ending.NOTICE_AND_KILL)
+ENDINGS_BY_SIGTERM: Final = (Ending.SIGTERM, Ending.SIGTERM_DURING_START, Ending.SIGTERM_AND_KILL)
 
 
-def draw_schedule(seed: int, lives: int) -> SoakSchedule:
+def draw_schedule(seed: int, incarnations: int) -> SoakSchedule:
     """Return the schedule of a seed."""
     random_source = warmed_up(seed)
-    operator_file = _one_of(random_source, list(OperatorFile))
+    operator_file = _choose(random_source, list(OperatorFile))
     return SoakSchedule(
-        seed, operator_file, tuple(_draw_life(random_source, operator_file) for _ in range(lives))
+        seed,
+        operator_file,
+        tuple(_draw_incarnation(random_source, operator_file) for _ in range(incarnations)),
     )
 
 
-def _one_of(random_source: SeededRandom, choices: Sequence[DrawnT]) -> DrawnT:
+def _choose(random_source: SeededRandom, choices: Sequence[DrawnT]) -> DrawnT:
     return choices[int(random_source.random() * len(choices))]
 
 
-def _draw_life(random_source: SeededRandom, operator_file: OperatorFile) -> ScheduledLife:
-    """Draw every field, whatever the ending."""
-    ending = _one_of(random_source, list(Ending))
+def _draw_incarnation(random_source: SeededRandom, operator_file: OperatorFile) -> ScheduledIncarnation:
+    """Draw one incarnation.
+
+    Every field is drawn, so that the number of draws does not depend on the ending.
+    """
+    ending = _choose(random_source, list(Ending))
     if operator_file is OperatorFile.NONE and ending is Ending.KILL_DURING_HELD_RELOAD:
         ending = Ending.KILL_DURING_RELOAD
-    series = _one_of(random_source, SERIES_WITH_NOTICE if ending in ENDINGS_BY_NOTICE else SERIES)
-    signals = tuple(ScheduledSignal(one, LONGEST_SIGNAL_PAUSE * random_source.random()) for one in series)
-    return ScheduledLife(
-        crowd=CROWD if random_source.random() < CROWD_SHARE else 0,
-        service=LONGEST_SERVICE * random_source.random(),
+    signal_series = _choose(
+        random_source, SIGNAL_SERIES_WITH_SIGTERM if ending in ENDINGS_BY_SIGTERM else SIGNAL_SERIES
+    )
+    signals = tuple(
+        ScheduledSignal(one, LONGEST_SIGNAL_PAUSE_S * random_source.random()) for one in signal_series
+    )
+    return ScheduledIncarnation(
+        idle_connections=IDLE_CONNECTIONS if random_source.random() < IDLE_CONNECTIONS_SHARE else 0,
+        service_s=LONGEST_SERVICE_S * random_source.random(),
         signals=signals,
         ending=ending,
-        kill_delay=LONGEST_KILL_DELAY * random_source.random(),
+        kill_delay_s=LONGEST_KILL_DELAY_S * random_source.random(),
     )
