--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -15,34 +15,34 @@
 
 class TakesAll(ex.Sink):
     @staticmethod
-    def takes(seen, fence):
+    def accepts(highest_fence, fence):
         return True
 
 
 def overtaken(make=RaftNode):
     """a had an effect that flies still; b leads now and holds the duty."""
-    world = ex.led(make)
+    world = ex.state_with_leader(make)
 
     def settle(world, but=()):
         for _ in range(60):
             ready = [n for n, m in enumerate(world.flying) if m[0] != "sink" and not {m[0], m[1]} & set(but)]
             if not ready:
                 break
-            world, broken = ex.act(world, ("deliver", ready[0], ""), make)
+            world, broken = ex.apply_action(world, ("deliver", ready[0], ""), make)
             assert broken is None
         return world
 
     for action in (("propose", "a", ""), ("time", 0, "")):
-        world = settle(ex.act(world, action, make)[0])
-        world = settle(ex.act(world, ("tick", "a", ""), make)[0])
-    world, _ = ex.act(world, ("effect", "a", ""), make)
+        world = settle(ex.apply_action(world, action, make)[0])
+        world = settle(ex.apply_action(world, ("tick", "a", ""), make)[0])
+    world, _ = ex.apply_action(world, ("effect", "a", ""), make)
     for _ in range(4):
-        world, _ = ex.act(world, ("time", 0, ""), make)
+        world, _ = ex.apply_action(world, ("time", 0, ""), make)
     for _ in range(6):
-        world = settle(ex.act(world, ("tick", "b", ""), make)[0], but="a")
-    world = settle(ex.act(world, ("propose", "b", ""), make)[0], but="a")
+        world = settle(ex.apply_action(world, ("tick", "b", ""), make)[0], but="a")
+    world = settle(ex.apply_action(world, ("propose", "b", ""), make)[0], but="a")
     world.used = dict.fromkeys(world.used, 0)
-    assert ex.fence_of(world, "b") is not None and any(m[0] == "sink" for m in world.flying)
+    assert ex.current_fence(world, "b") is not None and any(m[0] == "sink" for m in world.flying)
     return world
 
 
@@ -66,11 +66,11 @@
     )
     with pytest.raises(AssertionError):
         overtaken()  # b is granted what a had
-    world, broken = ex.led(), None
+    world, broken = ex.state_with_leader(), None
     for _ in range(2):
-        world, broken = ex.act(world, ("propose", "a", ""))
+        world, broken = ex.apply_action(world, ("propose", "a", ""))
         while world.flying and not broken:
-            world, broken = ex.act(world, ("deliver", 0, ""))
+            world, broken = ex.apply_action(world, ("deliver", 0, ""))
     assert broken == "one holder of a fence"
 
 
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -8,7 +8,7 @@
 from valeturn.cluster import codec
 from valeturn.cluster.limits import MEMBERS, MESSAGE
 from valeturn.cluster.member_messages import ALIVE, DEAD, SUSPECTED
-from valeturn.lab.fleetvirtual import Net
+from valeturn.lab.fleetvirtual import Network
 
 FAST = settings(derandomize=True, deadline=None, max_examples=150)
 
@@ -89,8 +89,8 @@
 
 def joined_network(count, seed, **network_options):
     """Return a network whose servers agree on the membership, with an empty log."""
-    network = Net(count, seed, bytes_too=True, **network_options)
-    assert network.until_agreed(60.0) is not None
+    network = Network(count, seed, encode_messages=True, **network_options)
+    assert network.wait_for_agreement(60.0) is not None
     network.run(network.now + 5)
     network.log.clear()
     return network
@@ -112,8 +112,8 @@
     network.run(network.now + 20)
     assert {name for _, name in deaths(network)} == {"n5"}
     assert len(deaths(network)) == 8
-    network.back(network.nodes[5])
-    assert network.until_agreed(20.0) is not None
+    network.restart(network.nodes[5])
+    assert network.wait_for_agreement(20.0) is not None
     assert effects_on(network, "n5") >= {"suspected", "dead", "restarted"}
 
 
@@ -135,7 +135,7 @@
         outwards = sender.name in apart and receiver.name not in apart
         return inwards or not one_way and outwards
 
-    network.cut = is_cut
+    network.is_cut = is_cut
     network.run(network.now + 60)
     if not one_way:
         remaining = sorted({node.name for node in network.nodes} - apart)
@@ -144,24 +144,24 @@
         # The smaller side trusts its own health less, and is slow.
         assert network.nodes[3].membership.alive() == sorted(apart)
         assert not set(network.nodes[0].membership.members) & apart, "forgotten by now"
-    network.cut = lambda sender, receiver: False
-    assert network.until_agreed(90.0) is not None
+    network.is_cut = lambda sender, receiver: False
+    assert network.wait_for_agreement(90.0) is not None
 
 
 def test_all_agree_after_all_were_paused_at_once_and_after_one_flapped():
     network = joined_network(7, 4)
     for node in network.nodes:
-        network.stop(node)
+        network.suspend(node)
     network.run(network.now + 30)
     for node in network.nodes:
-        node.go_on()
-    assert network.until_agreed(60.0) is not None
+        node.resume()
+    assert network.wait_for_agreement(60.0) is not None
     for _ in range(30):
-        network.stop(network.nodes[6])
+        network.suspend(network.nodes[6])
         network.run(network.now + 1)
-        network.nodes[6].go_on()
+        network.nodes[6].resume()
         network.run(network.now + 1)
-    assert network.until_agreed(60.0) is not None
+    assert network.wait_for_agreement(60.0) is not None
 
 
 def test_fast_and_stepping_clocks_declare_nobody_dead_for_long():
@@ -172,7 +172,7 @@
     assert not deaths(network)
     network.nodes[5].offset += 3600.0
     network.run(network.now + 5)
-    assert network.until_agreed(90.0) is not None
+    assert network.wait_for_agreement(90.0) is not None
 
 
 def test_messages_a_minute_old_change_nobodys_state():
@@ -180,10 +180,10 @@
     old = network.nodes[2].membership.local.to_wire()
     network.kill(network.nodes[2])
     network.run(network.now + 60)
-    assert network.until_agreed(1.0) is not None
-    network.nodes[0].hear("n2", network.nodes[2].life, "ping", [1, [old]], network.nodes[2].address)
+    assert network.wait_for_agreement(1.0) is not None
+    network.nodes[0].receive("n2", network.nodes[2].incarnation, "ping", [1, [old]], network.nodes[2].address)
     suspected = [*old[:3], "n3", *old[4:6], SUSPECTED]
-    network.nodes[1].hear("n3", network.nodes[3].life, "news", [[suspected]], "x")
+    network.nodes[1].receive("n3", network.nodes[3].incarnation, "news", [[suspected]], "x")
     network.run(network.now + 5)
     assert network.agreed(), "a dead member stays dead until it refutes with a newer incarnation"
 
@@ -191,7 +191,7 @@
 def test_server_that_leaves_is_reported_as_left_and_never_suspected():
     network = joined_network(6, 7)
     node = network.nodes[4]
-    node.act(lambda: node.membership.leave(node.clock()))
+    node.perform(lambda: node.membership.leave(node.clock()))
     network.run(network.now + 3)
     network.kill(node)
     network.run(network.now + 30)
@@ -204,5 +204,5 @@
     for _ in range(2):
         network = joined_network(6, 8, loss=0.1)
         network.run(network.now + 30)
-        logs.append((network.sent, network.log))
+        logs.append((network.messages_sent, network.log))
     assert logs[0] == logs[1]
--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -9,7 +9,7 @@
 from valeturn.cluster.raft import Persist, RaftNode, Role, Send
 from valeturn.cluster.raft_log import DurableState, LogEntry
 from valeturn.cluster.replicated_state import ClusterState
-from valeturn.lab.ownervirtual import LEASE, Storm, owner_lost, play
+from valeturn.lab.ownervirtual import LEASE, FaultSimulation, measure_owner_loss, play
 from valeturn.transport.seeded_random import SeededRandom
 
 FAST = settings(derandomize=True, deadline=None, max_examples=200)
@@ -18,9 +18,14 @@
 @pytest.mark.parametrize("count, seed", [(3, n) for n in range(1, 9)] + [(5, n) for n in range(1, 9)])
 def test_random_faults_never_give_two_leases_at_once_and_never_change_committed_entries(count, seed):
     storm = play(count, 60, seed)
-    w = storm.witness
-    assert not w.broken(), (w.at_once[:2], w.forked[:2], w.two_in_a_term[:2], w.fences_fell[:2])
-    assert len(w.terms) > 3 and w.facts, "there were faults"
+    checker = storm.checker
+    assert not checker.violation_count(), (
+        checker.simultaneous_owners[:2],
+        checker.diverging_commands[:2],
+        checker.duplicate_leaders[:2],
+        checker.decreased_fencing_tokens[:2],
+    )
+    assert len(checker.terms) > 3 and checker.committed_commands, "there were faults"
     assert storm.leader() is not None and not storm.wiped, "and it ends with a leader"
 
 
@@ -57,7 +62,7 @@
     """All election time-outs are equal here and a third of the messages late or lost, so that votes split."""
     monkeypatch.setattr(raft, "ELECTION_SPREAD", 0.0)
     for seed in range(1, 201):
-        if play(3 + 2 * (seed % 2), 40, seed, owner=planted, loss=0.1, late=0.25).witness.broken():
+        if play(3 + 2 * (seed % 2), 40, seed, owner=planted, loss=0.1, late=0.25).checker.violation_count():
             return
     raise AssertionError("two hundred fault schedules and nothing found")
 
@@ -65,11 +70,11 @@
 def test_history_checker_finds_nothing_without_a_planted_fault(monkeypatch):
     monkeypatch.setattr(raft, "ELECTION_SPREAD", 0.0)
     for seed in range(1, 13):
-        assert not play(3 + 2 * (seed % 2), 40, seed, loss=0.1, late=0.25).witness.broken()
+        assert not play(3 + 2 * (seed % 2), 40, seed, loss=0.1, late=0.25).checker.violation_count()
 
 
 def calm(count=3, seed=1):
-    storm = Storm(count, seed, loss=0.0, doubled=0.0, late=0.0)
+    storm = FaultSimulation(count, seed, loss=0.0, duplicated=0.0, late=0.0)
     storm.run(5 * LEASE)
     assert storm.leader() is not None
     return storm
@@ -78,14 +83,14 @@
 def test_paused_leader_does_not_act_when_it_resumes_and_follows_its_successor():
     storm = calm()
     old = storm.leader()
-    old.stopped = True
+    old.suspended = True
     storm.run(storm.now + 4 * LEASE)
     new = storm.leader()
     assert new is not None and new is not old
-    old.stopped = False
+    old.suspended = False
     assert not old.owner.holds_lease(old.clock()), "before it has read a single message"
     assert not old.owner.propose(old.clock(), ("grant", "d", old.name, 1))
-    storm.go_on(old)
+    storm.resume(old)
     storm.run(storm.now + LEASE)
     assert old.owner.role == Role.FOLLOWER and old.owner.durable.term >= new.owner.durable.term
 
@@ -95,30 +100,30 @@
     storm = calm()
     old = storm.leader()
     others = [name for name in storm.voters if name != old.name]
-    storm.cuts = {(name, old.name) if not hears else (old.name, name) for name in others}
+    storm.blocked_links = {(name, old.name) if not hears else (old.name, name) for name in others}
     storm.run(storm.now + 6 * LEASE)
     assert storm.leader() is not None and storm.leader() is not old
-    assert not storm.witness.broken()
+    assert not storm.checker.violation_count()
 
 
 def test_no_leader_without_a_majority_until_the_partition_heals():
     storm = calm(4)
     names = sorted(storm.voters)
-    storm.cuts = {(a, b) for a in names for b in names if (a in names[:2]) != (b in names[:2])}
+    storm.blocked_links = {(a, b) for a in names for b in names if (a in names[:2]) != (b in names[:2])}
     storm.run(storm.now + 10 * LEASE)
     assert storm.leader() is None
-    storm.cuts = set()
+    storm.blocked_links = set()
     storm.run(storm.now + 6 * LEASE)
-    assert storm.leader() is not None and not storm.witness.broken()
+    assert storm.leader() is not None and not storm.checker.violation_count()
 
 
 def test_pre_vote_keeps_a_partitioned_voter_from_deposing_the_leader():
     storm = calm()
     leader = storm.leader()
     term, away = leader.owner.durable.term, next(n for n in storm.voters if n != leader.name)
-    storm.cuts = {(a, b) for a in storm.voters for b in storm.voters if away in (a, b)}
+    storm.blocked_links = {(a, b) for a in storm.voters for b in storm.voters if away in (a, b)}
     storm.run(storm.now + 20 * LEASE)
-    storm.cuts = set()
+    storm.blocked_links = set()
     storm.run(storm.now + 5 * LEASE)
     assert storm.leader() is leader and leader.owner.durable.term == term, "it only asked for pre-votes"
 
@@ -130,12 +135,16 @@
     lost.up = False
     storm.run(storm.now + LEASE)
     storm.wiped.add(lost.name)
-    storm.back(lost, True)
+    storm.restart(lost, True)
     assert lost.owner.durable.state_lost and not lost.owner.may_vote()
     assert lost.owner.receive(lost.clock(), "x", "vote", [99, 99, 99, True]) == []
     storm.run(storm.now + 8 * LEASE)
     assert not lost.owner.durable.state_lost and lost.owner.may_vote()
-    changes = [fact for _, fact in sorted(storm.witness.facts.items()) if fact[0] in ("admit", "dismiss")]
+    changes = [
+        fact
+        for _, fact in sorted(storm.checker.committed_commands.items())
+        if fact[0] in ("admit", "dismiss")
+    ]
     assert changes == [("dismiss", lost.name), ("admit", lost.name, 2)]
     assert lost.owner.durable.vote is not None, "its vote of this term may have been given before"
 
@@ -147,10 +156,10 @@
         voter.up = False
     storm.run(storm.now + LEASE)
     for voter in rest:
-        voter.disk, voter.life, voter.up = None, 2, True
+        voter.disk, voter.incarnation, voter.up = None, 2, True
         voter.start()
     storm.run(storm.now + 20 * LEASE)
-    assert storm.leader() is None and not storm.witness.broken()
+    assert storm.leader() is None and not storm.checker.violation_count()
 
 
 def test_leadership_transfer_is_quick_and_the_old_leader_acts_no_more():
@@ -158,17 +167,17 @@
     old = storm.leader()
     to = next(name for name in storm.voters if name != old.name)
     at = storm.now
-    old.carry(old.owner.transfer_leadership(old.clock(), to))
+    old.apply_effects(old.owner.transfer_leadership(old.clock(), to))
     assert not old.owner.holds_lease(old.clock())
     while storm.leader() is None:
         storm.run(storm.now + 0.01)
     assert storm.leader().name == to and storm.now - at < 0.3 * LEASE
-    assert not storm.witness.broken()
+    assert not storm.checker.violation_count()
 
 
 def test_lost_leader_is_replaced_within_a_few_leases():
     """A lease and the randomized time-out pass; once more where two candidates split the vote."""
-    lost = sorted(owner_lost(3, 1, 8) + owner_lost(5, 2, 8))
+    lost = sorted(measure_owner_loss(3, 1, 8) + measure_owner_loss(5, 2, 8))
     assert lost[len(lost) // 2] < 1.5 * LEASE and lost[-1] < 3.5 * LEASE
 
 
@@ -179,7 +188,7 @@
     away.up = False
     for number in range(3 * raft.LOG_ENTRIES_RETAINED):
         assert leader.owner.propose(leader.clock(), ("grant", f"d{number % 5}", leader.name, 1))
-        leader.carry(leader.owner.tick(leader.clock()))
+        leader.apply_effects(leader.owner.tick(leader.clock()))
         if number % 16 == 0:
             storm.run(storm.now + 0.1)
     storm.run(storm.now + LEASE)
@@ -187,7 +196,7 @@
         len(leader.owner.durable.entries) <= 2 * raft.LOG_ENTRIES_RETAINED + 16
         and leader.owner.durable.snapshot_index > raft.LOG_ENTRIES_RETAINED
     )
-    storm.back(away, False)
+    storm.restart(away, False)
     storm.run(storm.now + 3 * LEASE)
     assert (
         away.owner.state == leader.owner.state
--- a/valeturn/lab/fleetvirtual.py
+++ b/valeturn/lab/fleetvirtual.py
@@ -1,8 +1,8 @@
-"""Many members of a fleet in virtual time: a network that loses, delays and cuts, servers that stop, die and
-are back.
+"""Simulate the membership of a large cluster in virtual time.
 
-The membership is the real one; messages go through the real bytes where `bytes_too` says so. A clock of its
-own for each server may run fast or slow.
+The network loses, delays and cuts messages; servers are suspended, killed and restarted. The membership code
+is the real one, and messages pass through the real codec if `encode_messages` is set. Each server has its own
+clock, which may run fast or slow.
 """
 
 from __future__ import annotations
@@ -15,132 +15,152 @@
 from ..transport.seeded_random import SeededRandom
 from .virtual import Timeline, percentile
 
-TICK = 0.1  # s of a server's own clock between looks
-DELAY = 0.002  # s one way at the least, and a tail of as much at the mean
+TICK_S = 0.1  # between ticks, by the server's own clock
+SHORTEST_DELAY_S = 0.002  # one way; an exponential part with the same mean is added
 
 
 class Node:
-    """One server: its membership, its clock, and whether it runs."""
+    """One server: its membership, its clock and whether it runs."""
 
-    def __init__(self, net, number, life, rate=1.0):
-        self.net, self.name, self.number = net, f"n{number}", number
+    def __init__(self, network, number, incarnation, rate=1.0):
+        self.network, self.name, self.number = network, f"n{number}", number
         self.address, self.zone = f"10.0.{number // 250}.{number % 250}:7000", f"z{number % 3}"
-        self.rate, self.offset = rate, 0.0  # its clock: rate x time + offset
-        self.up, self.stopped, self.held = True, False, []
-        self.start(life)
+        self.rate, self.offset = rate, 0.0  # its clock shows rate * time + offset
+        self.up, self.suspended, self.held_messages = True, False, []
+        self.start(incarnation)
 
-    def start(self, life):
-        self.up, self.life = True, life
+    def start(self, incarnation):
+        """Start an incarnation with a new membership."""
+        self.up, self.incarnation = True, incarnation
         self.membership = Membership(
-            MemberIdentity(self.name, self.address, self.zone, life),
-            self.net.seeds,
-            SeededRandom(7919 * self.number + life),
+            MemberIdentity(self.name, self.address, self.zone, incarnation),
+            self.network.seeds,
+            SeededRandom(7919 * self.number + incarnation),
             self.clock(),
         )
 
     def clock(self):
-        return self.net.now * self.rate + self.offset
+        """Return the time of the server's own clock in seconds."""
+        return self.network.now * self.rate + self.offset
 
-    def tick(self, life):
-        if not self.up or life != self.life:
+    def tick(self, incarnation):
+        """Tick periodically until this incarnation ends."""
+        if not self.up or incarnation != self.incarnation:
             return
-        self.net.at(TICK / self.rate, self.tick, life)
-        if not self.stopped:
-            self.act(lambda: self.membership.tick(self.clock()))
+        self.network.at(TICK_S / self.rate, self.tick, incarnation)
+        if not self.suspended:
+            self.perform(lambda: self.membership.tick(self.clock()))
 
-    def hear(self, sender, life, kind, fields, address):
+    def receive(self, sender, incarnation, kind, fields, address):
+        """Process a message; hold it back while the server is suspended."""
         if not self.up:
             return
-        if self.stopped:
-            self.held.append((sender, life, kind, fields, address))
+        if self.suspended:
+            self.held_messages.append((sender, incarnation, kind, fields, address))
             return
-        self.act(lambda: self.membership.receive(self.clock(), sender, life, kind, fields))
+        self.perform(lambda: self.membership.receive(self.clock(), sender, incarnation, kind, fields))
 
-    def act(self, function):
+    def perform(self, function):
+        """Call the membership, measure its CPU time, and carry out the changes and messages that result."""
         began = time.perf_counter()
-        sent = function()
-        self.net.cpu += time.perf_counter() - began
+        outgoing = function()
+        self.network.cpu_s += time.perf_counter() - began
         for change in self.membership.take_changes():
-            self.net.changed(self, change)
-        for name, address, kind, fields in sent:
-            self.net.send(self, address, kind, fields)
-
-    def go_on(self):
-        """Continues after a stop: what came meanwhile is read at once."""
-        self.stopped, held = False, self.held
-        self.held = []
-        for one in held:
-            self.hear(*one)
-
-
-class Net(Timeline):
-    def __init__(self, count, seed, loss=0.0, slow=0.0, bytes_too=False):
-        """loss: share of messages that never come. slow: share of the servers that answer late, as if short
-        of CPU."""
+            self.network.record_change(self, change)
+        for name, address, kind, fields in outgoing:
+            self.network.send(self, address, kind, fields)
+
+    def resume(self):
+        """Continue after a suspension: messages that arrived meanwhile are processed at once."""
+        self.suspended, messages = False, self.held_messages
+        self.held_messages = []
+        for message in messages:
+            self.receive(*message)
+
+
+class Network(Timeline):
+    """The servers and the network between them."""
+
+    def __init__(self, count, seed, loss=0.0, slow=0.0, encode_messages=False):
+        """Start all servers.
+
+        Args:
+            count: How many servers there are.
+            seed: Of the random draws.
+            loss: The share of messages that are lost.
+            slow: The share of servers that send and receive late, as if short of CPU.
+            encode_messages: Pass messages through the codec and count their bytes.
+        """
         super().__init__()
         self.random_source = SeededRandom(seed)
         for _ in range(8):
             self.random_source.random()
-        self.loss, self.bytes_too = loss, bytes_too
-        self.cut = lambda one, other: False  # whether a message from one can't reach the other
-        self.sent = self.size = 0
-        self.cpu, self.log = 0.0, []  # (when, who saw it, what, of whom)
+        self.loss, self.encode_messages = loss, encode_messages
+        # Whether messages of the sender can't reach the receiver.
+        self.is_cut = lambda sender, receiver: False
+        self.messages_sent = self.bytes_sent = 0
+        self.cpu_s, self.log = 0.0, []  # (time, observer, effect, member)
         self.seeds = [f"10.0.0.{n}:7000" for n in range(3)]
         self.nodes = [Node(self, number, 1000) for number in range(count)]
-        self.by_address = {node.address: node for node in self.nodes}
+        self.nodes_by_address = {node.address: node for node in self.nodes}
         self.slow = set(range(int(slow * count + 0.5)))
         for node in self.nodes:
-            self.at(TICK * self.random_source.random(), node.tick, node.life)
+            self.at(TICK_S * self.random_source.random(), node.tick, node.incarnation)
 
     def send(self, node, address, kind, fields):
-        self.sent += 1
-        if self.bytes_too:
+        """Deliver a message later, unless it is lost, cut off or sent to an unknown address."""
+        self.messages_sent += 1
+        if self.encode_messages:
             data = codec.encode("lab", node.name, node.membership.local.generation, kind, fields)
-            self.size += len(data)
+            self.bytes_sent += len(data)
             (message,) = codec.Decoder("lab").feed(data)
             kind, fields = message.kind, message.fields
-        other = self.by_address.get(address)
-        if other is None or self.random_source.random() < self.loss or self.cut(node, other):
+        other = self.nodes_by_address.get(address)
+        if other is None or self.random_source.random() < self.loss or self.is_cut(node, other):
             return
-        delay = DELAY - DELAY * math.log(1 - self.random_source.random())
-        for one in (node, other):
-            if one.number in self.slow:
-                delay += (
-                    0.5 * self.random_source.random()
-                )  # some hundred ms late, as a process that waits for a core
+        delay = SHORTEST_DELAY_S - SHORTEST_DELAY_S * math.log(1 - self.random_source.random())
+        for endpoint in (node, other):
+            if endpoint.number in self.slow:
+                # Some hundred milliseconds late, like a process that waits for a core.
+                delay += 0.5 * self.random_source.random()
         generation = node.membership.local.generation
         self.at(delay, self.arrive, other, node.name, generation, kind, fields, node.address)
 
     def arrive(self, other, *message):
-        other.hear(*message)
+        """Deliver a message that is due."""
+        other.receive(*message)
 
-    def changed(self, node, change):
+    def record_change(self, node, change):
+        """Log a membership change that a server has seen."""
         self.log.append((self.now, node.name, change.effect.value, change.name))
 
-    # ---- what is done to them
+    # ---- faults
 
     def kill(self, node):
+        """Kill a server."""
         node.up = False
 
-    def back(self, node):
-        node.start(node.life + 1)
-        node.held, node.stopped = [], False
-        self.at(0.0, node.tick, node.life)
+    def restart(self, node):
+        """Start the next incarnation of a killed server."""
+        node.start(node.incarnation + 1)
+        node.held_messages, node.suspended = [], False
+        self.at(0.0, node.tick, node.incarnation)
 
-    def stop(self, node):
-        node.stopped = True
+    def suspend(self, node):
+        """Suspend a server until it resumes."""
+        node.suspended = True
 
-    # ---- what came of it
+    # ---- results
 
     def agreed(self):
-        """Whether all that run hold exactly those that run to be there."""
+        """Return whether every running server lists exactly the running servers as alive."""
         up = sorted(node.name for node in self.nodes if node.up)
         return all(node.membership.alive() == up for node in self.nodes if node.up)
 
-    def until_agreed(self, most):
-        """s until all agree, or None after so many."""
+    def wait_for_agreement(self, timeout_s):
+        """Run until all servers agree; return the seconds it took, or None after the timeout."""
         began = self.now
-        while self.now < began + most:
+        while self.now < began + timeout_s:
             if self.agreed():
                 return self.now - began
             self.run(self.now + 0.1)
@@ -148,41 +168,50 @@
 
 
 def measure(count, seed, loss, slow, minutes, out):
-    """Joins so many, leaves them alone for a while, then kills one after another. Prints one line of
-    figures."""
-    net = Net(count, seed, loss, slow, bytes_too=count <= 200)
-    joined = net.until_agreed(300.0)
-    began, sent, cpu = net.now, net.sent, net.cpu
-    net.log.clear()
-    net.run(net.now + 60.0 * minutes)
-    quiet = net.now - began
-    suspected = sum(row[2] == "suspected" for row in net.log)
-    lost = sum(row[2] == "dead" for row in net.log)
-    a_second = (net.sent - sent) / quiet / count
-    cpu_share = (net.cpu - cpu) / quiet / count
-    first, everyone = [], []
-    victims = [node for node in net.nodes if node.number >= 3 and node.number not in net.slow][:10]
-    for node in victims:
-        net.log.clear()
-        at = net.now
-        net.kill(node)
-        net.run(net.now + 45.0)
-        seen = {row[1]: row[0] - at for row in net.log if row[2] == "dead" and row[3] == node.name}
-        if seen:
-            first.append(min(seen.values()))
-            everyone.append(max(seen.values()))
-        net.back(node)
-        net.until_agreed(60.0)
-    hours = quiet / 3600 * count
+    """Start the servers, run them without faults, then kill up to ten one after another.
+
+    Prints one line of figures and returns whether every death was detected.
+    """
+    network = Network(count, seed, loss, slow, encode_messages=count <= 200)
+    joined_after_s = network.wait_for_agreement(300.0)
+    began, sent_before, cpu_before = network.now, network.messages_sent, network.cpu_s
+    network.log.clear()
+    network.run(network.now + 60.0 * minutes)
+    quiet_s = network.now - began
+    suspected = sum(row[2] == "suspected" for row in network.log)
+    false_deaths = sum(row[2] == "dead" for row in network.log)
+    messages_per_second = (network.messages_sent - sent_before) / quiet_s / count
+    cpu_share = (network.cpu_s - cpu_before) / quiet_s / count
+    first_detections_s, last_detections_s = [], []
+    killed_nodes = [node for node in network.nodes if node.number >= 3 and node.number not in network.slow][
+        :10
+    ]
+    for node in killed_nodes:
+        network.log.clear()
+        killed_at = network.now
+        network.kill(node)
+        network.run(network.now + 45.0)
+        detected_after_s = {
+            row[1]: row[0] - killed_at for row in network.log if row[2] == "dead" and row[3] == node.name
+        }
+        if detected_after_s:
+            first_detections_s.append(min(detected_after_s.values()))
+            last_detections_s.append(max(detected_after_s.values()))
+        network.restart(node)
+        network.wait_for_agreement(60.0)
+    server_hours = quiet_s / 3600 * count
     print(
         f"servers={count} seed={seed} loss={loss:g} slow={slow:g} "
-        f"joined_in={-1 if joined is None else joined:.1f}s "
-        f"messages_a_second={a_second:.2f} bytes_a_second={net.size / max(1e-9, net.now) / count:.0f} "
-        f"cpu_share={cpu_share:.5f} suspicions_a_server_hour={suspected / hours:.2f} "
-        f"falsely_gone_a_server_hour={lost / hours:.3f} killed={len(victims)} seen={len(first)} "
-        f"lost_first_p50={percentile(first, 0.5):.1f}s lost_all_p50={percentile(everyone, 0.5):.1f}s "
-        f"lost_all_most={max(everyone, default=float('nan')):.1f}s",
+        f"joined_in={-1 if joined_after_s is None else joined_after_s:.1f}s "
+        f"messages_a_second={messages_per_second:.2f} "
+        f"bytes_a_second={network.bytes_sent / max(1e-9, network.now) / count:.0f} "
+        f"cpu_share={cpu_share:.5f} suspicions_a_server_hour={suspected / server_hours:.2f} "
+        f"falsely_gone_a_server_hour={false_deaths / server_hours:.3f} killed={len(killed_nodes)} "
+        f"seen={len(first_detections_s)} "
+        f"lost_first_p50={percentile(first_detections_s, 0.5):.1f}s "
+        f"lost_all_p50={percentile(last_detections_s, 0.5):.1f}s "
+        f"lost_all_most={max(last_detections_s, default=float('nan')):.1f}s",
         file=out,
         flush=True,
     )
-    return len(first) == len(victims)
+    return len(first_detections_s) == len(killed_nodes)
--- a/valeturn/lab/model_checker.py
+++ b/valeturn/lab/model_checker.py
@@ -1,13 +1,15 @@
-"""A model checker of our own for the owner's decision: all orders of messages, losses, doubles, timeouts,
-pauses and restarts, breadth first, up to stated bounds.
-
-The real decision is driven. Time is one clock in steps of half a lease, which any voter may sleep through:
-an owner that is stopped is one that does not tick. States are kept by a hash of what each voter holds, with
-all times relative to now, and what is on its way; the voters are alike at the start, so that only the first
-of them may stand first. What is found is the shortest way there, as a story that can be played again.
-
-What a duty touches is there too: an owner that holds the duty may have an effect, which then flies as any
-message does, past its owner's end; the sink compares its fence.
+"""A model checker for the election of the cluster's owner.
+
+It searches all orders of messages, losses, duplicates, timeouts, pauses and restarts, breadth first, up to
+given bounds, with the real Raft nodes. Time is one clock that advances in steps of about half a lease. A
+suspended node is one that does not tick, which any node may do at any time. A state is identified by a hash
+of what each voter holds, with all times relative to now, and of the messages in flight. All voters are alike
+at the start, so only the first of them may become the first candidate. The result is a shortest sequence of
+actions that breaks an invariant; it can be replayed.
+
+The resource that a singleton task writes to is modelled, too: a node that holds the task's lease may send an
+effect, which is in flight like a message and may outlive its sender's leadership. The resource, called sink,
+compares its fencing token.
 """
 
 from __future__ import annotations
@@ -18,25 +20,26 @@
 
 from ..cluster.raft import Committed, HeartbeatRound, Persist, RaftNode, Role, Send
 
-STEP = 0.52  # of a lease: one keeps within it, two pass a promise
+STEP_LEASES = 0.52  # in leases: one step stays within a lease, two exceed it and any promise of a voter
 
 
-class Even:
-    """No spread of waiting times: who stands first is the explorer's choice."""
+class ConstantRandom:
+    """Removes the random part of election timeouts: the search decides who becomes a candidate first."""
 
     def random(self):
+        """Return the smallest draw."""
         return 0.0
 
 
 class Bounds(NamedTuple):
-    """How far is looked."""
-
-    states: int = 60_000
-    depth: int = 40
-    term: int = 2  # the largest
-    flying: int = 6  # messages on their way at once
-    steps: int = 3  # of time
-    losses: int = 0  # what is never delivered is lost as well; losing only makes room for others
+    """The limits of a search; the fields after `flying` limit how often each action is used."""
+
+    states: int = 60_000  # distinct states
+    depth: int = 40  # actions in a row
+    term: int = 2  # the highest
+    flying: int = 6  # messages in flight at once
+    steps: int = 3  # steps of time
+    losses: int = 0  # a message that is never delivered counts as lost, too; this only makes room for others
     doubles: int = 0
     restarts: int = 0
     wipes: int = 0
@@ -45,164 +48,198 @@
     readmissions: int = 0
 
 
-class Found(NamedTuple):
-    states: int
-    depth: int
-    seconds: float
-    broken: str | None  # the invariant's name
-    story: tuple  # the actions that lead there
-    whole: bool  # all within the bounds was seen
-
-
-class World:
-    """One state: voters, what they kept, what flies, and what the witness knows."""
+class SearchResult(NamedTuple):
+    """The result of a search."""
 
-    __slots__ = ("disks", "facts", "flying", "holders", "leaders", "lives", "now", "owners", "seen", "used")
+    states: int  # distinct states that were visited
+    depth: int  # of the broken invariant, or the deepest state
+    seconds: float
+    broken: str | None  # name of the broken invariant
+    story: tuple  # the actions that lead to it
+    whole: bool  # every state within the bounds was visited
+
+
+class State:
+    """One state: the nodes, their durable states, the messages in flight, and what the invariants need.
+
+    `flying` has (receiver, sender, kind, fields) of each message; `used` counts the limited actions.
+    """
+
+    __slots__ = (
+        "durable_states",
+        "committed_commands",
+        "flying",
+        "holder_by_fence",
+        "leader_by_term",
+        "incarnations",
+        "now",
+        "nodes",
+        "highest_fence",
+        "used",
+    )
 
     def clone(self):
-        other = World.__new__(World)
-        other.owners = {name: copy_of(owner) for name, owner in self.owners.items()}
-        other.disks, other.lives = dict(self.disks), dict(self.lives)
+        """Return an independent copy."""
+        other = State.__new__(State)
+        other.nodes = {name: copy_raft_node(node) for name, node in self.nodes.items()}
+        other.durable_states, other.incarnations = dict(self.durable_states), dict(self.incarnations)
         other.flying, other.now, other.used = list(self.flying), self.now, dict(self.used)
-        other.facts, other.leaders = dict(self.facts), dict(self.leaders)
-        other.seen, other.holders = self.seen, dict(self.holders)
+        other.committed_commands, other.leader_by_term = (
+            dict(self.committed_commands),
+            dict(self.leader_by_term),
+        )
+        other.highest_fence, other.holder_by_fence = self.highest_fence, dict(self.holder_by_fence)
         return other
 
 
-def copy_of(owner):
-    other = object.__new__(type(owner))
-    for key, value in vars(owner).items():
+def copy_raft_node(node):
+    """Return a copy of a node that shares no mutable state with it."""
+    other = object.__new__(type(node))
+    for attribute, value in vars(node).items():
         if isinstance(value, dict):
             value = {
-                k: HeartbeatRound(v.sent_at, set(v.acknowledged_by)) if isinstance(v, HeartbeatRound) else v
-                for k, v in value.items()
+                name: HeartbeatRound(item.sent_at, set(item.acknowledged_by))
+                if isinstance(item, HeartbeatRound)
+                else item
+                for name, item in value.items()
             }
         elif isinstance(value, (set, list)):
             value = type(value)(value)
-        other.__dict__[key] = value
+        other.__dict__[attribute] = value
     return other
 
 
-def begin(make=RaftNode, count=3):
-    world = World.__new__(World)
-    names = [chr(ord("a") + n) for n in range(count)]
+def initial_state(make=RaftNode, count=3):
+    """Return a state in which all nodes have just started; `make` is their class."""
+    state = State.__new__(State)
+    names = [chr(ord("a") + number) for number in range(count)]
     founders = tuple((name, 1) for name in names)
-    world.now, world.flying, world.facts, world.leaders = 0.0, [], {}, {}
-    world.seen, world.holders = 0, {}  # the highest fence at the sink; fence -> who had it
-    world.owners = {name: make(name, 1, 1.0, Even(), -9.0, None, founders) for name in names}
-    world.disks = {name: owner.durable for name, owner in world.owners.items()}
-    world.lives = dict.fromkeys(names, 1)
-    world.used = dict.fromkeys(Bounds._fields[4:], 0)
-    return world
-
-
-def led(make=RaftNode, count=3):
-    """The first leads, by the second's answers alone; nothing flies."""
-    world = begin(make, count)
-    a, b = sorted(world.owners)[:2]
+    state.now, state.flying, state.committed_commands, state.leader_by_term = 0.0, [], {}, {}
+    state.highest_fence, state.holder_by_fence = 0, {}  # highest fence at the sink; fence -> its holder
+    state.nodes = {name: make(name, 1, 1.0, ConstantRandom(), -9.0, None, founders) for name in names}
+    state.durable_states = {name: node.durable for name, node in state.nodes.items()}
+    state.incarnations = dict.fromkeys(names, 1)
+    state.used = dict.fromkeys(Bounds._fields[4:], 0)
+    return state
+
+
+def state_with_leader(make=RaftNode, count=3):
+    """Return a state in which the first node leads by the votes of the second; no message is in flight."""
+    state = initial_state(make, count)
+    leader, voter = sorted(state.nodes)[:2]
     for _ in range(8):
-        world, _ = act(world, ("tick", a, ""), make)
+        state, _ = apply_action(state, ("tick", leader, ""), make)
         for _ in range(24):
-            ready = [n for n, (to, sender, _, _) in enumerate(world.flying) if {to, sender} == {a, b}]
-            if not ready:
+            deliverable = [
+                number
+                for number, (to, sender, _, _) in enumerate(state.flying)
+                if {to, sender} == {leader, voter}
+            ]
+            if not deliverable:
                 break
-            world, _ = act(world, ("deliver", ready[0], ""), make)
-        world.flying = []
-    assert world.owners[a].holds_lease(world.now)
-    return world
+            state, _ = apply_action(state, ("deliver", deliverable[0], ""), make)
+        state.flying = []
+    assert state.nodes[leader].holds_lease(state.now)
+    return state
 
 
-def carry(world, name, effects):
-    """Carries effects out; what it returns is a broken invariant, or None."""
+def apply_effects(state, name, effects):
+    """Carry out a node's effects; return a broken invariant or None."""
     for effect in effects:
         if isinstance(effect, Persist):
-            world.disks[name] = effect.durable
+            state.durable_states[name] = effect.durable
         elif isinstance(effect, Send):
-            world.flying.append((effect.to, name, effect.kind, freeze(effect.fields)))
+            state.flying.append((effect.to, name, effect.kind, to_tuples(effect.fields)))
         elif isinstance(effect, Committed) and effect.command[0] != "snapshot":
-            if world.facts.setdefault(effect.log_index, effect.command) != effect.command:
+            if state.committed_commands.setdefault(effect.log_index, effect.command) != effect.command:
                 return "committed facts stay"
             if effect.command[0] == "grant":
-                _, owner, life, fence = effect.state.task_lease(effect.command[1])
-                holder = owner, life, effect.log_index
-                if world.holders.setdefault(fence, holder) != holder:
+                _, holder_name, incarnation, fence = effect.state.task_lease(effect.command[1])
+                holder = holder_name, incarnation, effect.log_index
+                if state.holder_by_fence.setdefault(fence, holder) != holder:
                     return "one holder of a fence"
     return None
 
 
-def freeze(value):
-    return tuple(freeze(one) for one in value) if isinstance(value, (list, tuple)) else value
+def to_tuples(value):
+    """Return nested lists as nested tuples, which can be hashed."""
+    return tuple(to_tuples(one) for one in value) if isinstance(value, (list, tuple)) else value
 
 
-def thaw(value):
-    return [thaw(one) for one in value] if isinstance(value, tuple) else value
+def to_lists(value):
+    """Return nested tuples as nested lists, as a decoded message has them."""
+    return [to_lists(one) for one in value] if isinstance(value, tuple) else value
 
 
-def judge(world):
-    acting = [
-        (name, owner.durable.term) for name, owner in world.owners.items() if owner.holds_lease(world.now)
-    ]
+def check_invariants(state):
+    """Return a broken invariant or None."""
+    acting = [(name, node.durable.term) for name, node in state.nodes.items() if node.holds_lease(state.now)]
     if len(acting) > 1:
         return "one acts at a time"
-    for name, owner in world.owners.items():
-        if owner.role == Role.LEADER and world.leaders.setdefault(owner.durable.term, name) != name:
+    for name, node in state.nodes.items():
+        if node.role == Role.LEADER and state.leader_by_term.setdefault(node.durable.term, name) != name:
             return "one leader a term"
     return None
 
 
-def actions(world, bounds):
-    """What may happen next, as values that `act` takes."""
-    used, out = world.used, []
-    for number, (to, sender, kind, _) in enumerate(world.flying):
-        if any(other == world.flying[number] for other in world.flying[:number]):
-            continue  # the same twice: one order is enough
-        out.append(("deliver", number, f"{sender}->{to} {kind}"))
+def possible_actions(state, bounds):
+    """Return the actions that are possible within the bounds, as (kind, target, text) for apply_action."""
+    used, possible = state.used, []
+    for number, (to, sender, kind, _) in enumerate(state.flying):
+        if any(other == state.flying[number] for other in state.flying[:number]):
+            continue  # an equal message is in flight already: one order of the two is enough
+        possible.append(("deliver", number, f"{sender}->{to} {kind}"))
         if used["losses"] < bounds.losses:
-            out.append(("lose", number, f"{sender}->{to} {kind}"))
+            possible.append(("lose", number, f"{sender}->{to} {kind}"))
         if used["doubles"] < bounds.doubles:
-            out.append(("double", number, f"{sender}->{to} {kind}"))
+            possible.append(("double", number, f"{sender}->{to} {kind}"))
     if used["steps"] < bounds.steps:
-        out.append(("time", 0, "half a lease"))
-    for name, owner in world.owners.items():
-        first = name == min(world.owners) or any(o.durable.term for o in world.owners.values())
-        room = len(world.flying) <= bounds.flying - 2
-        if first and room and owner.durable.term < bounds.term + (owner.role == Role.LEADER):
-            out.append(("tick", name, ""))
-        if used["restarts"] < bounds.restarts and owner.durable.term:
-            out.append(("restart", name, ""))
-        if used["wipes"] < bounds.wipes and owner.durable.term:
-            out.append(("wipe", name, ""))
-        if used["proposals"] < bounds.proposals and owner.holds_lease(world.now):
-            out.append(("propose", name, ""))
-        if used["effects"] < bounds.effects and fence_of(world, name) is not None:
-            out.append(("effect", name, ""))
-        if used["readmissions"] < bounds.readmissions and owner.holds_lease(world.now):
-            out += [
+        possible.append(("time", 0, "half a lease"))
+    for name, node in state.nodes.items():
+        may_stand = name == min(state.nodes) or any(other.durable.term for other in state.nodes.values())
+        room = len(state.flying) <= bounds.flying - 2
+        if may_stand and room and node.durable.term < bounds.term + (node.role == Role.LEADER):
+            possible.append(("tick", name, ""))
+        if used["restarts"] < bounds.restarts and node.durable.term:
+            possible.append(("restart", name, ""))
+        if used["wipes"] < bounds.wipes and node.durable.term:
+            possible.append(("wipe", name, ""))
+        if used["proposals"] < bounds.proposals and node.holds_lease(state.now):
+            possible.append(("propose", name, ""))
+        if used["effects"] < bounds.effects and current_fence(state, name) is not None:
+            possible.append(("effect", name, ""))
+        if used["readmissions"] < bounds.readmissions and node.holds_lease(state.now):
+            possible += [
                 ("readmit", name, other)
-                for other, life in world.lives.items()
-                if life > 1 and (other, life) not in owner.voters()
+                for other, incarnation in state.incarnations.items()
+                if incarnation > 1 and (other, incarnation) not in node.voters()
             ]
-    return out
+    return possible
 
 
-def fence_of(world, name):
-    """Under which it would have an effect now: its grant was committed in a term that it leads."""
-    owner = world.owners[name]
-    row = owner.state.task_lease("d")
-    if row is None or row[1:3] != (name, world.lives[name]) or not owner.holds_lease(world.now):
+def current_fence(state, name):
+    """Return the fence under which a node would send an effect now, or None.
+
+    It must hold the lease of the task, by a grant that was committed, in a term that it leads.
+    """
+    node = state.nodes[name]
+    row = node.state.task_lease("d")
+    if row is None or row[1:3] != (name, state.incarnations[name]) or not node.holds_lease(state.now):
         return None
-    return row.fencing_token if owner.term_of(owner.commit_index) == owner.durable.term else None
+    return row.fencing_token if node.term_of(node.commit_index) == node.durable.term else None
 
 
 class Sink:
-    """What a duty touches: refuses a lower fence than it has seen."""
+    """The resource that a singleton task writes to: rejects a fence below the highest that it has seen."""
 
     @staticmethod
-    def takes(seen, fence):
-        return fence >= seen
+    def accepts(highest_fence, fence):
+        """Return whether an effect under this fence is accepted."""
+        return fence >= highest_fence
 
 
-COUNTED = {
+# Action kind -> the field of Bounds that limits it.
+BOUND_BY_ACTION = {
     "effect": "effects",
     "readmit": "readmissions",
     "time": "steps",
@@ -214,166 +251,195 @@
 }
 
 
-def act(world, action, make=RaftNode, sink=Sink):
-    """The next state, and a broken invariant or None."""
-    what, which, _ = action
-    world = world.clone()
-    if what in COUNTED:
-        world.used[COUNTED[what]] += 1
+def apply_action(state, action, make=RaftNode, sink=Sink):
+    """Return the next state, and a broken invariant or None.
+
+    Args:
+        action: (kind, target, text), where the target is a node's name or the index of a message in flight.
+        make: The class of restarted nodes.
+        sink: The class of the resource.
+    """
+    action_kind, target, _ = action
+    state = state.clone()
+    if action_kind in BOUND_BY_ACTION:
+        state.used[BOUND_BY_ACTION[action_kind]] += 1
     broken = None
-    if what in ("deliver", "double"):
-        to, sender, kind, fields = world.flying[which]
-        if what == "deliver":
-            del world.flying[which]
+    if action_kind in ("deliver", "double"):
+        to, sender, kind, fields = state.flying[target]
+        if action_kind == "deliver":
+            del state.flying[target]
         if to == "sink":
-            if sink.takes(world.seen, fields[0]) and fields[0] < world.seen:
-                return world, "no effect after a higher fence was seen"
-            world.seen = max(world.seen, fields[0])
-            return world, None
-        broken = carry(world, to, world.owners[to].receive(world.now, sender, kind, thaw(fields)))
-    elif what == "lose":
-        del world.flying[which]
-    elif what == "time":
-        world.now = round(world.now + STEP, 3)
-    elif what == "tick":
-        broken = carry(world, which, world.owners[which].tick(world.now))
-    elif what == "effect":
-        world.flying.append(("sink", which, "effect", (fence_of(world, which),)))
-    elif what == "readmit":
-        owner, other = world.owners[which], action[2]
-        owner.readmit_voter(world.now, other, world.lives[other])
-        broken = carry(world, which, owner.take_effects())
-    elif what == "propose":
-        owner = world.owners[which]
-        owner.propose(world.now, ("grant", "d", which, world.lives[which]))
-        broken = carry(world, which, owner.take_effects())
+            if sink.accepts(state.highest_fence, fields[0]) and fields[0] < state.highest_fence:
+                return state, "no effect after a higher fence was seen"
+            state.highest_fence = max(state.highest_fence, fields[0])
+            return state, None
+        broken = apply_effects(state, to, state.nodes[to].receive(state.now, sender, kind, to_lists(fields)))
+    elif action_kind == "lose":
+        del state.flying[target]
+    elif action_kind == "time":
+        state.now = round(state.now + STEP_LEASES, 3)
+    elif action_kind == "tick":
+        broken = apply_effects(state, target, state.nodes[target].tick(state.now))
+    elif action_kind == "effect":
+        state.flying.append(("sink", target, "effect", (current_fence(state, target),)))
+    elif action_kind == "readmit":
+        node, other = state.nodes[target], action[2]
+        node.readmit_voter(state.now, other, state.incarnations[other])
+        broken = apply_effects(state, target, node.take_effects())
+    elif action_kind == "propose":
+        node = state.nodes[target]
+        node.propose(state.now, ("grant", "d", target, state.incarnations[target]))
+        broken = apply_effects(state, target, node.take_effects())
     else:
-        if what == "wipe":
-            world.disks[which], world.lives[which] = None, world.lives[which] + 1
-        world.owners[which] = make(which, world.lives[which], 1.0, Even(), world.now, world.disks[which])
-    return world, broken or judge(world)
+        if action_kind == "wipe":
+            state.durable_states[target], state.incarnations[target] = None, state.incarnations[target] + 1
+        state.nodes[target] = make(
+            target, state.incarnations[target], 1.0, ConstantRandom(), state.now, state.durable_states[target]
+        )
+    return state, broken or check_invariants(state)
+
 
+def state_key(state):
+    """Return a hash that is equal for equivalent states.
 
-def key(world):
-    """What makes two states the same: times count from now, and long ago is long ago."""
+    Times are relative to now, and all times more than 1.1 leases ago are the same.
+    """
 
-    def ago(at):
-        return round(max(-1.1, at - world.now), 3)
+    def relative(time_s):
+        return round(max(-1.1, time_s - state.now), 3)
 
-    rows = []
-    for name, o in sorted(world.owners.items()):
+    node_rows = []
+    for name, node in sorted(state.nodes.items()):
         rounds = tuple(
             sorted(
-                (o.round_number - n, ago(at), tuple(sorted(who)))
-                for n, (at, who) in o.rounds.items()
-                if world.now - at <= 1.0
+                (node.round_number - number, relative(sent_at), tuple(sorted(acknowledged_by)))
+                for number, (sent_at, acknowledged_by) in node.rounds.items()
+                if state.now - sent_at <= 1.0
             )
         )
-        rows.append(
+        node_rows.append(
             (
-                o.durable,
-                o.commit_index,
-                o.role,
-                o.leader,
-                ago(o.votes_withheld_until),
-                ago(o.election_at),
-                ago(o.lease_until),
-                ago(o.step_down_at),
-                ago(o.heartbeat_at),
-                o.transferring,
-                tuple(sorted(o.votes_granted)),
+                node.durable,
+                node.commit_index,
+                node.role,
+                node.leader,
+                relative(node.votes_withheld_until),
+                relative(node.election_at),
+                relative(node.lease_until),
+                relative(node.step_down_at),
+                relative(node.heartbeat_at),
+                node.transferring,
+                tuple(sorted(node.votes_granted)),
                 rounds,
-                tuple(sorted(o.next_index.items())),
-                tuple(sorted(o.match_index.items())),
-                world.disks[name],
+                tuple(sorted(node.next_index.items())),
+                tuple(sorted(node.match_index.items())),
+                state.durable_states[name],
             )
         )
     return hash(
         (
-            tuple(rows),
-            tuple(sorted(world.flying, key=repr)),
-            tuple(sorted(world.used.items())),
-            tuple(sorted(world.leaders.items())),
-            world.seen,
-            tuple(sorted(world.holders.items())),
+            tuple(node_rows),
+            tuple(sorted(state.flying, key=repr)),
+            tuple(sorted(state.used.items())),
+            tuple(sorted(state.leader_by_term.items())),
+            state.highest_fence,
+            tuple(sorted(state.holder_by_fence.items())),
         )
     )
 
 
 def explore(bounds, make=RaftNode, count=3, start=None, sink=Sink):
-    """From a world on: the first broken invariant is by a shortest story."""
+    """Search from a state for the shortest sequence of actions that breaks an invariant."""
     return search(
-        start or begin(make, count),
+        start or initial_state(make, count),
         bounds,
-        lambda world: actions(world, bounds),
-        lambda world, action: act(world, action, make, sink),
-        key,
+        lambda state: possible_actions(state, bounds),
+        lambda state, action: apply_action(state, action, make, sink),
+        state_key,
     )
 
 
-def search(first, bounds, actions, act, key):
-    """Breadth first, of any world with `flying`."""
+def search(start, bounds, possible_actions, apply_action, state_key):
+    """Search breadth first; states may be of any class with an attribute `flying`.
+
+    Args:
+        start: The first state.
+        bounds: Its fields states, depth and flying limit the search.
+        possible_actions: Returns the actions that are possible in a state.
+        apply_action: Returns the state after an action, and a broken invariant or None.
+        state_key: Returns the identity of a state.
+    """
     began = time.perf_counter()
-    seen, queue, deepest = {key(first)}, deque([(first, None, 0)]), 0
+    visited, queue, deepest = {state_key(start)}, deque([(start, None, 0)]), 0
     while queue:
-        world, path, depth = queue.popleft()
+        state, path, depth = queue.popleft()
         deepest = max(deepest, depth)
         if depth >= bounds.depth:
             continue
-        for action in actions(world):
-            after, broken = act(world, action)
-            trace = (action, path)
+        for action in possible_actions(state):
+            after, broken = apply_action(state, action)
+            step = (action, path)
             if broken:
-                return Found(len(seen), depth + 1, time.perf_counter() - began, broken, story(trace), False)
-            mark = key(after)
-            if mark in seen or len(after.flying) > bounds.flying:
+                return SearchResult(
+                    len(visited), depth + 1, time.perf_counter() - began, broken, action_sequence(step), False
+                )
+            after_key = state_key(after)
+            if after_key in visited or len(after.flying) > bounds.flying:
                 continue
-            if len(seen) >= bounds.states:
-                return Found(len(seen), deepest, time.perf_counter() - began, None, (), False)
-            seen.add(mark)
-            queue.append((after, trace, depth + 1))
-    return Found(len(seen), deepest, time.perf_counter() - began, None, (), True)
-
-
-def story(trace):
-    out = []
-    while trace is not None:
-        action, trace = trace
-        out.append(action)
-    return tuple(reversed(out))
-
-
-def replay(actions_, make=RaftNode, count=3, start=None, sink=Sink):
-    """Plays a story again; the broken invariant at its end, or None: also where it can't go on so, as the
-    message that is to arrive was never sent."""
-    world, broken = start or begin(make, count), None
-    for action in actions_:
-        what, which, text = action
-        if what in ("deliver", "lose", "double"):
-            there = [
-                n for n, (to, sender, kind, _) in enumerate(world.flying) if f"{sender}->{to} {kind}" == text
+            if len(visited) >= bounds.states:
+                return SearchResult(len(visited), deepest, time.perf_counter() - began, None, (), False)
+            visited.add(after_key)
+            queue.append((after, step, depth + 1))
+    return SearchResult(len(visited), deepest, time.perf_counter() - began, None, (), True)
+
+
+def action_sequence(last_step):
+    """Return the actions of a linked list of (action, step before), in order."""
+    path_actions = []
+    while last_step is not None:
+        action, last_step = last_step
+        path_actions.append(action)
+    return tuple(reversed(path_actions))
+
+
+def replay(sequence, make=RaftNode, count=3, start=None, sink=Sink):
+    """Replay a sequence of actions; return the broken invariant at its end, or None.
+
+    None is also returned when an action is impossible, because its message was never sent or its sender has
+    no fence.
+    """
+    state, broken = start or initial_state(make, count), None
+    for action in sequence:
+        action_kind, target, text = action
+        if action_kind in ("deliver", "lose", "double"):
+            deliverable_numbers = [
+                number
+                for number, (to, sender, kind, _) in enumerate(state.flying)
+                if f"{sender}->{to} {kind}" == text
             ]
-            if not there:
+            if not deliverable_numbers:
                 return None
-            which = which if which in there else there[0]
-        if what == "effect" and fence_of(world, which) is None:
+            target = target if target in deliverable_numbers else deliverable_numbers[0]
+        if action_kind == "effect" and current_fence(state, target) is None:
             return None
-        world, broken = act(world, (what, which, text), make, sink)
+        state, broken = apply_action(state, (action_kind, target, text), make, sink)
     return broken
 
 
-def tell(actions_):
-    """The story for a person, a line each."""
-    words = {
+def describe(sequence):
+    """Return a sequence of actions as readable lines."""
+    templates = {
         "deliver": "arrives: {}",
         "lose": "is lost: {}",
-        "double": "arrives and flies on: {}",
+        "double": "arrives and stays in flight: {}",
         "time": "{} passes",
-        "tick": "{0} looks at its clock",
-        "restart": "{0} is killed and back with its disk",
-        "wipe": "{0} is killed and back without its disk",
+        "tick": "{0} checks its timeouts",
+        "restart": "{0} is killed and restarted with its disk",
+        "wipe": "{0} is killed and restarted without its disk",
         "propose": "{0} proposes a grant",
-        "effect": "{0} looks at its lease and has an effect",
-        "readmit": "{0} is taken back in",
+        "effect": "{0} checks its lease and sends an effect",
+        "readmit": "{0} is readmitted",
     }
-    return [words[what].format(which if not text else text) for what, which, text in actions_]
+    return [
+        templates[action_kind].format(target if not text else text) for action_kind, target, text in sequence
+    ]
--- a/valeturn/lab/storebench.py
+++ b/valeturn/lab/storebench.py
@@ -1,9 +1,9 @@
-"""`lab store`: the store and plain sqlite3 (WAL, synchronous=FULL) at the same work in one run, and its own
-structures beside plain ones.
+"""`lab store`: compare the result store with sqlite3 (WAL, synchronous=FULL) in one run, and the store's own
+data structures with plain ones.
 
-The work is the store's: an intent that must be durable before its run, then a result of 256 bytes; a hundred
-submissions are under way at a time, and what comes meanwhile shares the next write. Both get the same
-grouping.
+The work is that of the store: for each submission an intent that must be durable before its run, then a
+result of 256 bytes. A hundred submissions are in progress at a time, and what arrives during a write shares
+the next one. Both are given the same batches.
 """
 
 from __future__ import annotations
@@ -29,195 +29,212 @@
 from ..result_store.timing_wheel import TimingWheel
 from ..transport.worker_thread import WorkerThread
 
-AT_ONCE = 100  # submissions under way
+CONCURRENT_SUBMISSIONS = 100  # in progress at a time
 RESULT = bytes(range(256))
-MEASURED = 20_000  # submissions whose waits are taken, after which keys are only filled in
+MEASURED_SUBMISSIONS = 20_000  # whose waits are measured; later ones only add keys
 
 
-def mark(number):
+def key_name(number):
+    """Return the key of a submission."""
     return f"parcel-{number:08d}"
 
 
-def open_kept(folder, keys, helper=None):
-    files, boot = StoreDirectory(str(folder)), window_clock.read_boot_id()
-    if not files.prepare():
+def open_store(folder, keys, worker=None):
+    """Open a result store with room for this many keys; exit when another process has the folder."""
+    directory, boot_id = StoreDirectory(str(folder)), window_clock.read_boot_id()
+    if not directory.prepare():
         raise SystemExit(f"valeturn: {folder}: another process has it")
-    derived = limits.derive_limits(2 * keys * 600 + 100_000_000, max(8_000_000, 150 * keys), 4_000_000)
+    store_limits = limits.derive_limits(2 * keys * 600 + 100_000_000, max(8_000_000, 150 * keys), 4_000_000)
     environment = StoreEnvironment(
-        files,
-        helper or WorkerThread(),
-        lambda: window_clock.read_clocks(boot),
+        directory,
+        worker or WorkerThread(),
+        lambda: window_clock.read_clocks(boot_id),
         lambda *_: None,
         lambda *_: None,
     )
-    return ResultStore(environment, StoreSettings(derived, 1.0, 86400.0))
+    return ResultStore(environment, StoreSettings(store_limits, 1.0, 86400.0))
 
 
-def submissions(kept, keys, waits):
-    """Plays so many submissions through the store: noted, synced, ended. waits: a histogram in
-    microseconds."""
-    under_way, made, ended = {}, 0, 0
+def run_submissions(store, keys, wait_histogram):
+    """Run this many submissions through the store: log the intent, sync it, log the result.
+
+    The time until each intent is durable is recorded in the histogram, in microseconds.
+    """
+    in_progress, started, ended = {}, 0, 0
     while ended < keys:
-        while len(under_way) < AT_ONCE and made < keys:
-            made += 1
-            digest = kept.key_digest("book", mark(made))
-            if kept.look_up(digest, 0.0).outcome != "execute" or kept.retry_after():
-                raise SystemExit(f"valeturn: no room for key {made}")
-            under_way[made] = digest, time.perf_counter()
-            kept.log_intent(made, digest, 86400.0, made.to_bytes(8, "big"), "book")
-        kept.flush()
-        kept.worker.wakeup_socket.recv(65536)
-        for kind, number, _ in kept.collect():
+        while len(in_progress) < CONCURRENT_SUBMISSIONS and started < keys:
+            started += 1
+            digest = store.key_digest("book", key_name(started))
+            if store.look_up(digest, 0.0).outcome != "execute" or store.retry_after():
+                raise SystemExit(f"valeturn: no room for key {started}")
+            in_progress[started] = digest, time.perf_counter()
+            store.log_intent(started, digest, 86400.0, started.to_bytes(8, "big"), "book")
+        store.flush()
+        store.worker.wakeup_socket.recv(65536)
+        for kind, number, _ in store.collect():
             if kind != "intent_durable":
                 raise SystemExit("valeturn: the disk failed")
-            digest, began = under_way.pop(number)
-            waits.record_value(max(1, int(1e6 * (time.perf_counter() - began))))
-            kept.end_execution(number, digest, entry_states.SUCCEEDED, RESULT)
+            digest, began = in_progress.pop(number)
+            wait_histogram.record_value(max(1, int(1e6 * (time.perf_counter() - began))))
+            store.end_execution(number, digest, entry_states.SUCCEEDED, RESULT)
             ended += 1
-    kept.flush()
-    while kept.pending or kept.in_flight:
-        kept.worker.wakeup_socket.recv(65536)
-        kept.collect()
-        kept.flush()
+    store.flush()
+    while store.pending or store.in_flight:
+        store.worker.wakeup_socket.recv(65536)
+        store.collect()
+        store.flush()
 
 
-class Sqlite:
-    """The same in one table, an intent a row that its result fills in."""
+class SqliteStore:
+    """The same work in one sqlite3 table: the intent is a row, which the result completes."""
 
     def __init__(self, folder):
-        self.db = sqlite3.connect(os.path.join(folder, "kept.db"), isolation_level=None)
-        self.db.execute("pragma journal_mode=WAL")
-        self.db.execute("pragma synchronous=FULL")
-        self.db.execute(
+        self.database = sqlite3.connect(os.path.join(folder, "kept.db"), isolation_level=None)
+        self.database.execute("pragma journal_mode=WAL")
+        self.database.execute("pragma synchronous=FULL")
+        self.database.execute(
             "create table if not exists kept(digest blob primary key, until integer, state integer,"
             " call blob, workload text, result blob) without rowid"
         )
-        self.db.execute("create index if not exists ends on kept(until)")
+        self.database.execute("create index if not exists ends on kept(until)")
 
-    def submissions(self, keys, digest, waits):
-        made, ended, results = 0, 0, []
+    def run_submissions(self, keys, digest, wait_histogram):
+        """Run this many submissions; a transaction has a batch of intents and the last batch's results."""
+        started, ended, results = 0, 0, []
         while ended < keys:
             began, batch = time.perf_counter(), []
-            while len(batch) < AT_ONCE and made < keys:
-                made += 1
-                one = digest("book", mark(made))
-                if self.db.execute("select state from kept where digest=?", (one,)).fetchone() is not None:
+            while len(batch) < CONCURRENT_SUBMISSIONS and started < keys:
+                started += 1
+                key_digest = digest("book", key_name(started))
+                if (
+                    self.database.execute("select state from kept where digest=?", (key_digest,)).fetchone()
+                    is not None
+                ):
                     raise SystemExit("valeturn: a key is there already")
-                batch.append((one, 1 << 31, 1, made.to_bytes(8, "big"), "book", None))
-            self.db.execute("begin")
-            self.db.executemany("update kept set state=2, result=? where digest=?", results)
-            self.db.executemany("insert into kept values(?,?,?,?,?,?)", batch)
-            self.db.execute("commit")
-            results = [(RESULT, one[0]) for one in batch]
+                batch.append((key_digest, 1 << 31, 1, started.to_bytes(8, "big"), "book", None))
+            self.database.execute("begin")
+            self.database.executemany("update kept set state=2, result=? where digest=?", results)
+            self.database.executemany("insert into kept values(?,?,?,?,?,?)", batch)
+            self.database.execute("commit")
+            results = [(RESULT, row[0]) for row in batch]
             for _ in batch:
-                waits.record_value(max(1, int(1e6 * (time.perf_counter() - began))))
+                wait_histogram.record_value(max(1, int(1e6 * (time.perf_counter() - began))))
             ended += len(batch)
-        self.db.execute("begin")
-        self.db.executemany("update kept set state=2, result=? where digest=?", results)
-        self.db.execute("commit")
+        self.database.execute("begin")
+        self.database.executemany("update kept set state=2, result=? where digest=?", results)
+        self.database.execute("commit")
 
 
 def size_of(folder):
+    """Return the size of the folder's files in bytes."""
     return sum(file.stat().st_size for file in pathlib.Path(folder).iterdir())
 
 
-def ms(histogram, percentile):
+def percentile_ms(histogram, percentile):
+    """Return a percentile of a histogram of microseconds, in milliseconds."""
     return histogram.get_value_at_percentile(percentile) / 1000
 
 
-CHILD = """
+# Measures the time and the memory of a start in a process of its own.
+CHILD_PROGRAM = """
 import sys, time
 sys.path.insert(0, {root!r})
 from valeturn.lab import storebench
 from valeturn.transport.worker_thread import InlineWorker
-before, began = storebench.resident(), time.perf_counter()
-{what}
-print(time.perf_counter() - began, storebench.resident() - before)
+before, began = storebench.resident_bytes(), time.perf_counter()
+{statements}
+print(time.perf_counter() - began, storebench.resident_bytes() - before)
 """
 
 
-def resident():
-    """Bytes of this process that are in memory."""
+def resident_bytes():
+    """Return the resident memory of this process in bytes."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
-def child(what):
-    """(seconds, bytes of memory) of a start in a process of its own."""
-    text = CHILD.format(root=str(pathlib.Path(__file__).resolve().parents[2]), what=what)
-    done = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, check=True)
-    return tuple(float(word) for word in done.stdout.split())
+def run_child(statements):
+    """Run statements in a new process; return their duration in seconds and their memory in bytes."""
+    program = CHILD_PROGRAM.format(
+        root=str(pathlib.Path(__file__).resolve().parents[2]), statements=statements
+    )
+    completed = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
+    return tuple(float(word) for word in completed.stdout.split())
 
 
-def structures(keys, out):
-    """The index beside a dict, the wheel beside a heap."""
+def measure_structures(keys, out):
+    """Print the figures of the index and of a dict, and of the timing wheel and of a heap."""
     digests = [os.urandom(16) for _ in range(keys)]
-    rows = {}
-    began, most, last = time.perf_counter(), 0.0, time.perf_counter()
+    entries = {}
+    began, longest_s, last = time.perf_counter(), 0.0, time.perf_counter()
     for digest in digests:
-        rows[digest] = (1, 2, 3, 4, 5)
+        entries[digest] = (1, 2, 3, 4, 5)
         now = time.perf_counter()
-        most, last = max(most, now - last), now
-    took = time.perf_counter() - began
-    each = (sys.getsizeof(rows) + keys * (sys.getsizeof(digests[0]) + 96)) / keys
+        longest_s, last = max(longest_s, now - last), now
+    duration_s = time.perf_counter() - began
+    bytes_per_key = (sys.getsizeof(entries) + keys * (sys.getsizeof(digests[0]) + 96)) / keys
     print(
-        f"index dict: put_us={1e6 * took / keys:.2f} longest_ms={1e3 * most:.2f} bytes_a_key={each:.0f}",
+        f"index dict: put_us={1e6 * duration_s / keys:.2f} longest_ms={1e3 * longest_s:.2f} "
+        f"bytes_a_key={bytes_per_key:.0f}",
         file=out,
     )
     index = Index()
-    began, most, last = time.perf_counter(), 0.0, time.perf_counter()
+    began, longest_s, last = time.perf_counter(), 0.0, time.perf_counter()
     for digest in digests:
         index.put(digest, 1, 2, 3, 4, entry_states.STORED)
         now = time.perf_counter()
-        most, last = max(most, now - last), now
-    took = time.perf_counter() - began
+        longest_s, last = max(longest_s, now - last), now
+    duration_s = time.perf_counter() - began
     began = time.perf_counter()
     found = sum(index.get(digest) is not None for digest in digests[:50_000])
-    get = (time.perf_counter() - began) / found
+    get_s = (time.perf_counter() - began) / found
     print(
-        f"index ours: put_us={1e6 * took / keys:.2f} longest_ms={1e3 * most:.2f} "
-        f"bytes_a_key={index.memory_bytes() / keys:.0f} get_us={1e6 * get:.2f}",
+        f"index ours: put_us={1e6 * duration_s / keys:.2f} longest_ms={1e3 * longest_s:.2f} "
+        f"bytes_a_key={index.memory_bytes() / keys:.0f} get_us={1e6 * get_s:.2f}",
         file=out,
     )
-    del rows, index
+    del entries, index
     for name, make in (("heap", Heap), ("wheel", TimingWheel)):
-        ends, began = make(0), time.perf_counter()
+        expirations, began = make(0), time.perf_counter()
         for number, digest in enumerate(digests):
-            ends.add(digest, 600 + number * 7919 % 3600)
-        added = time.perf_counter() - began
-        began, gone = time.perf_counter(), 0
+            expirations.add(digest, 600 + number * 7919 % 3600)
+        adding_s = time.perf_counter() - began
+        began, expired = time.perf_counter(), 0
         for now in range(600, 4300):
-            gone += len(ends.pop_due(now, 1 << 30))
-        took = time.perf_counter() - began
+            expired += len(expirations.pop_due(now, 1 << 30))
+        duration_s = time.perf_counter() - began
         print(
-            f"expiry {name}: add_us={1e6 * added / keys:.2f} due_us={1e6 * took / gone:.2f} "
-            f"bytes_a_key={make.BYTES}",
+            f"expiry {name}: add_us={1e6 * adding_s / keys:.2f} due_us={1e6 * duration_s / expired:.2f} "
+            f"bytes_a_key={make.BYTES_PER_KEY}",
             file=out,
         )
 
 
 class Heap:
-    """The plain way: (second, digest) in a heap."""
+    """Expirations as (second, digest) in a binary heap, with the interface of the timing wheel."""
 
-    BYTES = 8 + 56  # a slot and a tuple; the digest and the number are counted with the index
+    BYTES_PER_KEY = 8 + 56  # a slot and a tuple; digest and number are counted with the index
 
     def __init__(self, now):
         self.heap = []
 
     def add(self, digest, second):
+        """Add an expiration."""
         heapq.heappush(self.heap, (second, digest))
 
-    def pop_due(self, now, most):
-        out = []
-        while self.heap and self.heap[0][0] <= now and len(out) < most:
-            out.append(heapq.heappop(self.heap)[1])
-        return out
+    def pop_due(self, now, limit):
+        """Remove and return up to `limit` digests that are due."""
+        due = []
+        while self.heap and self.heap[0][0] <= now and len(due) < limit:
+            due.append(heapq.heappop(self.heap)[1])
+        return due
 
 
-TimingWheel.BYTES = 24
+TimingWheel.BYTES_PER_KEY = 24
 
 
 def main(keys, folder, out):
+    """Measure in the given folder, or in a temporary one that is removed."""
     base = pathlib.Path(folder) if folder else pathlib.Path(tempfile.mkdtemp(prefix="valeturn-lab-"))
     try:
         return measure(keys, base, out)
@@ -226,10 +243,13 @@
             shutil.rmtree(base, ignore_errors=True)
 
 
-def tell(name, keys, took, cpu, waits, folder, out):
+def print_figures(name, keys, duration_s, cpu_s, wait_histogram, folder, out):
+    """Print one store's throughput, CPU time, waits and disk use."""
     print(
-        f"{name}: durable_a_second={keys / took:.0f} cpu_us={1e6 * cpu / keys:.1f} "
-        f"wait_p50_ms={ms(waits, 50):.2f} wait_p99_ms={ms(waits, 99):.2f} wait_most_ms={ms(waits, 100):.2f} "
+        f"{name}: durable_a_second={keys / duration_s:.0f} cpu_us={1e6 * cpu_s / keys:.1f} "
+        f"wait_p50_ms={percentile_ms(wait_histogram, 50):.2f} "
+        f"wait_p99_ms={percentile_ms(wait_histogram, 99):.2f} "
+        f"wait_most_ms={percentile_ms(wait_histogram, 100):.2f} "
         f"disk_mb={size_of(folder) / 1e6:.1f}",
         file=out,
         flush=True,
@@ -237,46 +257,50 @@
 
 
 def measure(keys, base, out):
-    ours, theirs = base / "kept", base / "sqlite"
-    for one in (ours, theirs):
-        one.mkdir(parents=True)
-    waits = HdrHistogram(1, 60_000_000, 3)
-    kept = open_kept(ours, keys)
-    key, began, cpu = kept.key_digest, time.perf_counter(), time.process_time()
-    submissions(kept, keys, waits)
-    took, cpu = time.perf_counter() - began, time.process_time() - cpu
-    tell("store", keys, took, cpu, waits, ours, out)
-    waits = HdrHistogram(1, 60_000_000, 3)
-    other, began, cpu = Sqlite(theirs), time.perf_counter(), time.process_time()
-    other.submissions(keys, key, waits)
-    took, cpu = time.perf_counter() - began, time.process_time() - cpu
-    tell("sqlite3", keys, took, cpu, waits, theirs, out)
-    other.db.close()
-    # Starts: from the log alone, from a snapshot, and what sqlite3 needs to answer its first question.
-    kept.close(10.0)
-    (ours / "snapshot").unlink(missing_ok=True)
-    open_it = f"kept = storebench.open_kept({str(ours)!r}, {keys}, InlineWorker())"
-    check = f"assert kept.look_up(kept.key_digest('book', storebench.mark({keys})), 0.0).outcome == 'answer'"
-    took, memory = child(f"{open_it}\n{check}")
+    """Run the comparison with this many keys and print its figures."""
+    store_folder, sqlite_folder = base / "kept", base / "sqlite"
+    for directory_path in (store_folder, sqlite_folder):
+        directory_path.mkdir(parents=True)
+    wait_histogram = HdrHistogram(1, 60_000_000, 3)
+    store = open_store(store_folder, keys)
+    key_digest, began, cpu_s = store.key_digest, time.perf_counter(), time.process_time()
+    run_submissions(store, keys, wait_histogram)
+    duration_s, cpu_s = time.perf_counter() - began, time.process_time() - cpu_s
+    print_figures("store", keys, duration_s, cpu_s, wait_histogram, store_folder, out)
+    wait_histogram = HdrHistogram(1, 60_000_000, 3)
+    sqlite_store, began, cpu_s = SqliteStore(sqlite_folder), time.perf_counter(), time.process_time()
+    sqlite_store.run_submissions(keys, key_digest, wait_histogram)
+    duration_s, cpu_s = time.perf_counter() - began, time.process_time() - cpu_s
+    print_figures("sqlite3", keys, duration_s, cpu_s, wait_histogram, sqlite_folder, out)
+    sqlite_store.database.close()
+    # Starts: from the log alone, from a snapshot, and of sqlite3 up to its first answer.
+    store.close(10.0)
+    (store_folder / "snapshot").unlink(missing_ok=True)
+    open_statement = f"store = storebench.open_store({str(store_folder)!r}, {keys}, InlineWorker())"
+    check_statement = (
+        f"assert store.look_up(store.key_digest('book', storebench.key_name({keys})), 0.0)"
+        ".outcome == 'answer'"
+    )
+    duration_s, memory = run_child(f"{open_statement}\n{check_statement}")
     print(
-        f"start from the log: seconds={took:.3f} bytes_a_key={memory / keys:.0f}",
+        f"start from the log: seconds={duration_s:.3f} bytes_a_key={memory / keys:.0f}",
         file=out,
         flush=True,
     )
-    kept = open_kept(ours, keys)
-    kept.finish(SnapshotJob(kept))
-    kept.close(10.0)
-    took, memory = child(f"{open_it}\n{check}")
+    store = open_store(store_folder, keys)
+    store.finish(SnapshotJob(store))
+    store.close(10.0)
+    duration_s, memory = run_child(f"{open_statement}\n{check_statement}")
     print(
-        f"start from a snapshot: seconds={took:.3f} bytes_a_key={memory / keys:.0f} "
-        f"index_bytes_a_key={kept.index.memory_bytes() / keys:.0f}",
+        f"start from a snapshot: seconds={duration_s:.3f} bytes_a_key={memory / keys:.0f} "
+        f"index_bytes_a_key={store.index.memory_bytes() / keys:.0f}",
         file=out,
         flush=True,
     )
-    took, memory = child(
-        f"db = storebench.Sqlite({str(theirs)!r})\n"
-        "assert db.db.execute('select count(*) from kept').fetchone()"
+    duration_s, memory = run_child(
+        f"store = storebench.SqliteStore({str(sqlite_folder)!r})\n"
+        "assert store.database.execute('select count(*) from kept').fetchone()"
     )
-    print(f"start of sqlite3: seconds={took:.3f} memory_mb={memory / 1e6:.1f}", file=out, flush=True)
-    structures(min(keys, 1_000_000), out)
+    print(f"start of sqlite3: seconds={duration_s:.3f} memory_mb={memory / 1e6:.1f}", file=out, flush=True)
+    measure_structures(min(keys, 1_000_000), out)
     return 0
