--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -8,70 +8,79 @@
 
 from valeturn.cluster.raft import RaftNode
 from valeturn.cluster.replicated_state import ClusterState
-from valeturn.lab import model_checker as ex
+from valeturn.lab import model_checker
 
-ROOT = pathlib.Path(__file__).parents[2]
+REPOSITORY = pathlib.Path(__file__).parents[2]
 
 
-class AcceptsAll(ex.Sink):
+class AcceptingSink(model_checker.Sink):
     @staticmethod
     def takes(seen, fence):
         return True
 
 
-def overtaken(make=RaftNode):
-    """Return a world in which an effect of a is still in flight, while b leads and holds the task."""
-    world = ex.led(make)
+def state_with_late_effect(make_node=RaftNode):
+    """Return a state in which an effect of a is still in flight, while b leads and holds the task."""
+    state = model_checker.led(make_node)
 
-    def settle(world, but=()):
+    def deliver_all(state, unreachable=()):
         for _ in range(60):
-            ready = [n for n, m in enumerate(world.flying) if m[0] != "sink" and not {m[0], m[1]} & set(but)]
+            ready = [
+                index
+                for index, message in enumerate(state.flying)
+                if message[0] != "sink" and not {message[0], message[1]} & set(unreachable)
+            ]
             if not ready:
                 break
-            world, broken = ex.act(world, ("deliver", ready[0], ""), make)
-            assert broken is None
-        return world
+            state, violation = model_checker.act(state, ("deliver", ready[0], ""), make_node)
+            assert violation is None
+        return state
 
     for action in (("propose", "a", ""), ("time", 0, "")):
-        world = settle(ex.act(world, action, make)[0])
-        world = settle(ex.act(world, ("tick", "a", ""), make)[0])
-    world, _ = ex.act(world, ("effect", "a", ""), make)
+        state = deliver_all(model_checker.act(state, action, make_node)[0])
+        state = deliver_all(model_checker.act(state, ("tick", "a", ""), make_node)[0])
+    state, _ = model_checker.act(state, ("effect", "a", ""), make_node)
     for _ in range(4):
-        world, _ = ex.act(world, ("time", 0, ""), make)
+        state, _ = model_checker.act(state, ("time", 0, ""), make_node)
     for _ in range(6):
-        world = settle(ex.act(world, ("tick", "b", ""), make)[0], but="a")
-    world = settle(ex.act(world, ("propose", "b", ""), make)[0], but="a")
-    world.used = dict.fromkeys(world.used, 0)
-    assert ex.fence_of(world, "b") is not None and any(m[0] == "sink" for m in world.flying)
-    return world
+        state = deliver_all(model_checker.act(state, ("tick", "b", ""), make_node)[0], unreachable="a")
+    state = deliver_all(model_checker.act(state, ("propose", "b", ""), make_node)[0], unreachable="a")
+    state.used = dict.fromkeys(state.used, 0)
+    assert model_checker.fence_of(state, "b") is not None and any(
+        message[0] == "sink" for message in state.flying
+    )
+    return state
 
 
-def test_late_effect_is_rejected_and_a_sink_that_accepts_all_is_found():
-    bounds = ex.Bounds(states=3_000, flying=12, term=2, effects=1, steps=1)
-    found = ex.explore(bounds, start=overtaken(), sink=AcceptsAll)
-    assert found.broken == "no effect after a higher fence was seen", found
-    assert ex.replay(found.story, start=overtaken(), sink=AcceptsAll) == found.broken
-    assert ex.replay(found.story, start=overtaken()) is None
-    assert ex.explore(bounds, start=overtaken()).broken is None
+def test_late_effect_is_rejected_and_a_sink_that_accepts_all_is_detected():
+    bounds = model_checker.Bounds(states=3_000, flying=12, term=2, effects=1, steps=1)
+    result = model_checker.explore(bounds, start=state_with_late_effect(), sink=AcceptingSink)
+    assert result.broken == "no effect after a higher fence was seen", result
+    assert (
+        model_checker.replay(result.story, start=state_with_late_effect(), sink=AcceptingSink)
+        == result.broken
+    )
+    assert model_checker.replay(result.story, start=state_with_late_effect()) is None
+    assert model_checker.explore(bounds, start=state_with_late_effect()).broken is None
 
 
-def test_fencing_tokens_that_do_not_rise_are_found(monkeypatch):
-    plain_apply = ClusterState.apply
+def test_fencing_tokens_that_do_not_rise_are_detected(monkeypatch):
+    original_apply = ClusterState.apply
     monkeypatch.setattr(
         ClusterState,
         "apply",
-        lambda facts, fact: plain_apply(
-            facts._replace(fencing_token=0) if fact[0] == "grant" else facts, fact
+        lambda cluster_state, command: original_apply(
+            cluster_state._replace(fencing_token=0) if command[0] == "grant" else cluster_state, command
         ),
     )
     with pytest.raises(AssertionError):
-        overtaken()  # b is granted a's token
-    world, broken = ex.led(), None
+        state_with_late_effect()  # b is granted a's token
+    state, violation = model_checker.led(), None
     for _ in range(2):
-        world, broken = ex.act(world, ("propose", "a", ""))
-        while world.flying and not broken:
-            world, broken = ex.act(world, ("deliver", 0, ""))
-    assert broken == "one holder of a fence"
+        state, violation = model_checker.act(state, ("propose", "a", ""))
+        while state.flying and not violation:
+            state, violation = model_checker.act(state, ("deliver", 0, ""))
+    assert violation == "one holder of a fence"
 
 
 def test_no_cluster_module_is_loaded_without_its_section(tmp_path):
@@ -79,5 +88,5 @@
         "import sys; from valeturn.server import commands, components, server; "
         "print([name for name in sys.modules if name.startswith('valeturn.cluster')])"
     )
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True)
-    assert done.stdout.strip() == "[]", done.stderr
+    completed = subprocess.run([sys.executable, "-c", code], cwd=REPOSITORY, capture_output=True, text=True)
+    assert completed.stdout.strip() == "[]", completed.stderr
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Which package may import which, read from the sources: layers import downwards only."""
+"""Each package imports only from the packages of lower layers, as read from the sources."""
 
 import ast
 import pathlib
@@ -6,69 +6,69 @@
 
 import pytest
 
-ROOT = pathlib.Path(__file__).parent.parent / "valeturn"
-TYPES = "admission.interface"
-DECISIONS = {"admission.controller", TYPES, "admission.settings"}
-# Package -> the others that it may import from. Of `admission` the modules are told apart: most packages use
-# its types alone. The laboratory may use all, and nothing uses it.
-ALLOWED = {
+PACKAGE_FOLDER = pathlib.Path(__file__).parent.parent / "valeturn"
+INTERFACE_MODULE = "admission.interface"
+ADMISSION_MODULES = {"admission.controller", INTERFACE_MODULE, "admission.settings"}
+# Package -> the other packages that it may import from. The modules of `admission` are listed one by one, as
+# most packages use only its types. `lab` may import every package, and no package imports `lab`.
+ALLOWED_IMPORTS = {
     "transport": set(),
     "protocol": set(),
     "operator_config": set(),
     "admission": set(),
     "result_store": {"operator_config", "transport"},
-    "degradation": {"operator_config", TYPES},
+    "degradation": {"operator_config", INTERFACE_MODULE},
     "metrics": {"operator_config"},
     "control": {"operator_config", "transport"},
     "cluster": {"operator_config", "transport", "control"},
     "maintenance": {"operator_config", "cluster", "control"},
-    "dispatch": {"transport", "protocol", TYPES, "degradation", "result_store"},
-    "simulator_adapter": DECISIONS,
+    "dispatch": {"transport", "protocol", INTERFACE_MODULE, "degradation", "result_store"},
+    "simulator_adapter": ADMISSION_MODULES,
 }
-ALLOWED["server"] = {*ALLOWED, *DECISIONS} - {"simulator_adapter"}
+ALLOWED_IMPORTS["server"] = {*ALLOWED_IMPORTS, *ADMISSION_MODULES} - {"simulator_adapter"}
 
 
-def imported(path: pathlib.Path) -> Iterator[tuple[str, int]]:
-    """Yield (package of valeturn, line) for each import of a module, those inside functions too.
+def imports_of(path: pathlib.Path) -> Iterator[tuple[str, int]]:
+    """Yield (package of valeturn, line) for each relative import, including those inside functions.
 
-    A module of `admission` is named with its package.
+    A module of `admission` is yielded as `admission.<module>`.
     """
-    package = ("valeturn", *path.relative_to(ROOT).parts[:-1])
+    package = ("valeturn", *path.relative_to(PACKAGE_FOLDER).parts[:-1])
     for node in ast.walk(ast.parse(path.read_text())):
         if not isinstance(node, ast.ImportFrom) or not node.level:
             continue
-        names = list(package[: len(package) - node.level + 1])
+        parts = list(package[: len(package) - node.level + 1])
         if node.module:
-            names += node.module.split(".")
-        modules = [names] if len(names) > 1 else [[*names, one.name] for one in node.names]
+            parts += node.module.split(".")
+        modules = [parts] if len(parts) > 1 else [[*parts, alias.name] for alias in node.names]
         for module in modules:
             if module[1] != "admission":
                 yield module[1], node.lineno
             elif len(module) > 2:
                 yield f"admission.{module[2]}", node.lineno
             else:
-                for one in node.names:
-                    yield f"admission.{one.name}", node.lineno
+                for alias in node.names:
+                    yield f"admission.{alias.name}", node.lineno
 
 
-@pytest.mark.parametrize("package", ALLOWED)
-def test_no_package_imports_one_further_up(package: str) -> None:
-    files = list((ROOT / package).rglob("*.py"))
-    assert files
-    for path in files:
-        for name, line in imported(path):
-            own = name == package or name.startswith(package + ".")
-            known = own or name in ALLOWED[package] | {"__version__", "errors"}
-            assert known, f"{path.relative_to(ROOT)}:{line} {name}"
+@pytest.mark.parametrize("package", ALLOWED_IMPORTS)
+def test_package_imports_only_allowed_packages(package: str) -> None:
+    paths = list((PACKAGE_FOLDER / package).rglob("*.py"))
+    assert paths
+    for path in paths:
+        for name, line in imports_of(path):
+            is_own = name == package or name.startswith(package + ".")
+            is_allowed = is_own or name in ALLOWED_IMPORTS[package] | {"__version__", "errors"}
+            assert is_allowed, f"{path.relative_to(PACKAGE_FOLDER)}:{line} {name}"
 
 
-def test_every_package_but_the_laboratory_has_its_row() -> None:
-    packages = {path.parent.name for path in ROOT.glob("*/__init__.py")}
-    assert packages - {"lab"} == set(ALLOWED)
+def test_every_package_except_lab_is_listed() -> None:
+    packages = {path.parent.name for path in PACKAGE_FOLDER.glob("*/__init__.py")}
+    assert packages - {"lab"} == set(ALLOWED_IMPORTS)
 
 
-def test_check_sees_imports_of_other_packages() -> None:
-    seen = {name for name, _ in imported(ROOT / "server" / "server.py")}
-    assert {"dispatch", "transport", "admission.controller"} <= seen
-    outside = [path for path in ROOT.rglob("*.py") if "lab" not in path.parts]
-    assert "lab" not in {name for path in outside for name, _ in imported(path)}
+def test_imports_are_detected_and_none_is_of_lab() -> None:
+    packages = {name for name, _ in imports_of(PACKAGE_FOLDER / "server" / "server.py")}
+    assert {"dispatch", "transport", "admission.controller"} <= packages
+    paths_outside_lab = [path for path in PACKAGE_FOLDER.rglob("*.py") if "lab" not in path.parts]
+    assert "lab" not in {name for path in paths_outside_lab for name, _ in imports_of(path)}
