--- a/tests/cluster/test_cluster.py
+++ b/tests/cluster/test_cluster.py
@@ -15,7 +15,7 @@
 
 class AcceptingSink(model_checker.Sink):
     @staticmethod
-    def takes(seen, fence):
+    def accepts(seen, fence):
         return True
 
 
