--- a/tests/cluster/test_raft.py
+++ b/tests/cluster/test_raft.py
@@ -31,10 +31,10 @@
 
 class PersistsOnlyItsFirstEntries(RaftNode):
     def take_effects(self):
-        out = super().take_effects()
+        effects = super().take_effects()
         if self.last_position().last_index > 4:
-            out = [one for one in out if not isinstance(one, Persist)]
-        return out
+            effects = [effect for effect in effects if not isinstance(effect, Persist)]
+        return effects
 
 
 class LeaseFromTheAcknowledgement(RaftNode):
@@ -82,27 +82,30 @@
 
 def test_paused_leader_does_not_act_when_it_resumes_and_follows_its_successor():
     storm = stable_cluster()
-    old = storm.leader()
-    old.stopped = True
+    old_leader = storm.leader()
+    old_leader.stopped = True
     storm.run(storm.now + 4 * LEASE)
-    new = storm.leader()
-    assert new is not None and new is not old
-    old.stopped = False
-    assert not old.owner.holds_lease(old.clock()), "before it has received any message"
-    assert not old.owner.propose(old.clock(), ("grant", "d", old.name, 1))
-    storm.go_on(old)
+    new_leader = storm.leader()
+    assert new_leader is not None and new_leader is not old_leader
+    old_leader.stopped = False
+    assert not old_leader.owner.holds_lease(old_leader.clock()), "before it has received any message"
+    assert not old_leader.owner.propose(old_leader.clock(), ("grant", "d", old_leader.name, 1))
+    storm.go_on(old_leader)
     storm.run(storm.now + LEASE)
-    assert old.owner.role == Role.FOLLOWER and old.owner.durable.term >= new.owner.durable.term
+    assert (
+        old_leader.owner.role == Role.FOLLOWER
+        and old_leader.owner.durable.term >= new_leader.owner.durable.term
+    )
 
 
 @pytest.mark.parametrize("hears", [True, False])
 def test_one_way_partition_of_the_leader_leads_to_another_leader(hears):
     storm = stable_cluster()
-    old = storm.leader()
-    others = [name for name in storm.voters if name != old.name]
-    storm.cuts = {(name, old.name) if not hears else (old.name, name) for name in others}
+    old_leader = storm.leader()
+    others = [name for name in storm.voters if name != old_leader.name]
+    storm.cuts = {(name, old_leader.name) if not hears else (old_leader.name, name) for name in others}
     storm.run(storm.now + 6 * LEASE)
-    assert storm.leader() is not None and storm.leader() is not old
+    assert storm.leader() is not None and storm.leader() is not old_leader
     assert not storm.witness.broken()
 
 
@@ -160,14 +163,14 @@
 
 def test_leadership_transfer_is_quick_and_the_old_leader_stops_acting():
     storm = stable_cluster()
-    old = storm.leader()
-    to = next(name for name in storm.voters if name != old.name)
+    old_leader = storm.leader()
+    successor = next(name for name in storm.voters if name != old_leader.name)
     started_at = storm.now
-    old.carry(old.owner.transfer_leadership(old.clock(), to))
-    assert not old.owner.holds_lease(old.clock())
+    old_leader.carry(old_leader.owner.transfer_leadership(old_leader.clock(), successor))
+    assert not old_leader.owner.holds_lease(old_leader.clock())
     while storm.leader() is None:
         storm.run(storm.now + 0.01)
-    assert storm.leader().name == to and storm.now - started_at < 0.3 * LEASE
+    assert storm.leader().name == successor and storm.now - started_at < 0.3 * LEASE
     assert not storm.witness.broken()
 
 
@@ -200,32 +203,36 @@
     )
 
 
-def voter(name="a", durable=None, now=0.0, life=1):
+def voter(name="a", durable=None, now=0.0, incarnation=1):
     founders = () if durable else (("a", 1), ("b", 1), ("c", 1))
-    return RaftNode(name, life, 1.0, SeededRandom(1), now, durable, founders)
+    return RaftNode(name, incarnation, 1.0, SeededRandom(1), now, durable, founders)
 
 
 def sent(effects, kind):
-    return [(one.to, one.fields) for one in effects if isinstance(one, Send) and one.kind == kind]
+    return [
+        (effect.to, effect.fields) for effect in effects if isinstance(effect, Send) and effect.kind == kind
+    ]
 
 
 def test_vote_is_given_once_per_term_even_after_a_restart_and_persisted_before_it_is_sent():
-    one = voter()
-    effects = one.receive(5.0, "b", "vote", [3, 1, 0, False])
+    node = voter()
+    effects = node.receive(5.0, "b", "vote", [3, 1, 0, False])
     assert isinstance(effects[0], Persist) and effects[0].durable.vote == "b" and sent(effects, "voted")
-    assert not sent(one.receive(5.1, "c", "vote", [3, 1, 0, False]), "voted")
-    again = voter(durable=effects[0].durable, now=5.2)
-    assert not sent(again.receive(9.0, "c", "vote", [3, 1, 0, False]), "voted")
-    assert sent(again.receive(9.0, "b", "vote", [3, 1, 0, False]), "voted"), "the same vote is repeated"
+    assert not sent(node.receive(5.1, "c", "vote", [3, 1, 0, False]), "voted")
+    restarted = voter(durable=effects[0].durable, now=5.2)
+    assert not sent(restarted.receive(9.0, "c", "vote", [3, 1, 0, False]), "voted")
+    assert sent(restarted.receive(9.0, "b", "vote", [3, 1, 0, False]), "voted"), "the same vote is repeated"
 
 
 def test_vote_is_withheld_for_an_outdated_log_and_while_a_lease_may_depend_on_it():
-    one = voter()
-    one.receive(5.0, "b", "append", [2, 1, 1, 0, [[2, ["begin"]]], 2])
-    assert not sent(one.receive(5.5, "c", "vote", [9, 2, 2, False]), "voted"), "a lease of b may depend on it"
-    assert one.durable.term == 2, "its term does not rise in the meantime"
-    assert not sent(one.receive(7.0, "c", "vote", [9, 1, 0, False]), "voted"), "an older log"
-    assert sent(one.receive(7.0, "c", "vote", [10, 2, 2, False]), "voted")
+    node = voter()
+    node.receive(5.0, "b", "append", [2, 1, 1, 0, [[2, ["begin"]]], 2])
+    assert not sent(node.receive(5.5, "c", "vote", [9, 2, 2, False]), "voted"), (
+        "a lease of b may depend on it"
+    )
+    assert node.durable.term == 2, "its term does not rise in the meantime"
+    assert not sent(node.receive(7.0, "c", "vote", [9, 1, 0, False]), "voted"), "an older log"
+    assert sent(node.receive(7.0, "c", "vote", [10, 2, 2, False]), "voted")
 
 
 def leading(term_before=0, entries=()):
@@ -236,31 +243,31 @@
         snapshot=ClusterState((("a", 1), ("b", 1), ("c", 1))),
         entries=entries,
     )
-    one = voter(durable=durable)
+    node = voter(durable=durable)
     now = 5.0
-    one.tick(now)
-    one.receive(now, "b", "would", [one.durable.term + 1, one.durable.term, True])
-    one.receive(now, "b", "voted", [one.durable.term])
-    assert one.role == Role.LEADER
-    return one, now
+    node.tick(now)
+    node.receive(now, "b", "would", [node.durable.term + 1, node.durable.term, True])
+    node.receive(now, "b", "voted", [node.durable.term])
+    assert node.role == Role.LEADER
+    return node, now
 
 
 def test_lease_counts_from_the_sending_of_the_acknowledged_round():
-    one, now = leading()
-    assert not one.holds_lease(now), "elected, but no round is acknowledged yet"
-    number, last = one.round_number, one.last_position().last_index
-    one.receive(now + 0.9, "b", "appended", [one.durable.term, number, True, last, 1])
-    assert one.lease_until == now + 1.0 and not one.holds_lease(now + 1.0)
+    node, now = leading()
+    assert not node.holds_lease(now), "elected, but no round is acknowledged yet"
+    number, last = node.round_number, node.last_position().last_index
+    node.receive(now + 0.9, "b", "appended", [node.durable.term, number, True, last, 1])
+    assert node.lease_until == now + 1.0 and not node.holds_lease(now + 1.0)
 
 
 def test_acknowledgements_of_another_incarnation_do_not_count():
-    one, now = leading()
-    number, last = one.round_number, one.last_position().last_index
-    for life in (0, 2):
-        one.receive(now, "b", "appended", [one.durable.term, number, True, last, life])
-        assert not one.holds_lease(now) and one.commit_index == 1
-    one.receive(now, "b", "appended", [one.durable.term, number, True, last, 1])
-    assert one.holds_lease(now) and one.commit_index == last
+    node, now = leading()
+    number, last = node.round_number, node.last_position().last_index
+    for incarnation in (0, 2):
+        node.receive(now, "b", "appended", [node.durable.term, number, True, last, incarnation])
+        assert not node.holds_lease(now) and node.commit_index == 1
+    node.receive(now, "b", "appended", [node.durable.term, number, True, last, 1])
+    assert node.holds_lease(now) and node.commit_index == last
 
 
 def test_single_voter_admits_a_second_that_has_to_acknowledge_before_it_votes():
@@ -290,54 +297,58 @@
     }
     fleet["d"] = RaftNode("d", 9, 1.0, SeededRandom(9), 0.0)
 
-    def play(until, dead="", lead=None):
+    def play(until, stopped="", is_leader=None):
         nonlocal now
         while now < until:
             now += 1 / 12
             for name in fleet:
-                if name in dead:
+                if name in stopped:
                     continue
-                todo = [(name, one) for one in fleet[name].tick(now)]
-                while todo:
-                    sender, one = todo.pop(0)
-                    if isinstance(one, Send) and one.to not in dead:
-                        todo += [
-                            (one.to, e) for e in fleet[one.to].receive(now, sender, one.kind, one.fields)
+                pending = [(name, effect) for effect in fleet[name].tick(now)]
+                while pending:
+                    sender, effect = pending.pop(0)
+                    if isinstance(effect, Send) and effect.to not in stopped:
+                        pending += [
+                            (effect.to, response)
+                            for response in fleet[effect.to].receive(now, sender, effect.kind, effect.fields)
                         ]
-                if lead is not None and lead(name):
+                if is_leader is not None and is_leader(name):
                     return name
         return None
 
-    leader = play(20.0, lead=lambda name: fleet[name].holds_lease(now) and fleet[name].commit_index > 1)
+    leader = play(20.0, is_leader=lambda name: fleet[name].holds_lease(now) and fleet[name].commit_index > 1)
     fleet[leader].readmit_voter(now, "d", 9)
-    todo = fleet[leader].tick(now)
-    while todo:  # it reaches all; only the new voter's acknowledgement arrives, and no commit index
-        one = todo.pop(0)
-        if isinstance(one, Send) and one.kind in ("append", "snapshot"):
-            answers = fleet[one.to].receive(now, leader, one.kind, one.fields)
-            for answer in answers if one.to == "d" else ():
+    pending = fleet[leader].tick(now)
+    while pending:  # it reaches all; only the new voter's acknowledgement arrives, and no commit index
+        effect = pending.pop(0)
+        if isinstance(effect, Send) and effect.kind in ("append", "snapshot"):
+            answers = fleet[effect.to].receive(now, leader, effect.kind, effect.fields)
+            for answer in answers if effect.to == "d" else ():
                 if isinstance(answer, Send):
-                    todo += fleet[leader].receive(now, "d", answer.kind, answer.fields)
+                    pending += fleet[leader].receive(now, "d", answer.kind, answer.fields)
     assert fleet["d"].commit_index < fleet["d"].last_position().last_index and fleet["d"].may_vote()
-    assert play(now + 20.0, dead=leader, lead=lambda name: fleet[name].holds_lease(now)) not in (None, leader)
+    assert play(now + 20.0, stopped=leader, is_leader=lambda name: fleet[name].holds_lease(now)) not in (
+        None,
+        leader,
+    )
 
 
 def test_entry_of_an_earlier_term_is_committed_only_with_one_of_this_term():
-    one, now = leading(2, (LogEntry(1, ("grant", "d", "a", 1)),))
-    assert one.last_position() == (3, 3)
-    one.receive(now, "b", "appended", [3, one.round_number, True, 2, 1])
-    assert one.commit_index == 1, "a majority has it, but a later leader could still replace it"
-    one.receive(now, "b", "appended", [3, one.round_number, True, 3, 1])
-    assert one.commit_index == 3
+    node, now = leading(2, (LogEntry(1, ("grant", "d", "a", 1)),))
+    assert node.last_position() == (3, 3)
+    node.receive(now, "b", "appended", [3, node.round_number, True, 2, 1])
+    assert node.commit_index == 1, "a majority has it, but a later leader could still replace it"
+    node.receive(now, "b", "appended", [3, node.round_number, True, 3, 1])
+    assert node.commit_index == 3
 
 
 def test_late_snapshot_does_not_truncate_the_log():
-    one = voter()
+    node = voter()
     entries = [[2, ["begin"]], [2, ["grant", "d", "b", 1]], [2, ["grant", "d", "c", 1]]]
-    one.receive(5.0, "b", "append", [2, 1, 1, 0, entries, 2])
+    node.receive(5.0, "b", "append", [2, 1, 1, 0, entries, 2])
     facts = [[["a", 1], ["b", 1], ["c", 1]], [["d", "b", 1, 1]], 1, [], False]
-    one.receive(5.1, "b", "snapshot", [2, 1, 3, 2, facts])
-    assert one.last_position() == (4, 2) and one.durable.snapshot_index == 3, "acknowledged entries stay"
+    node.receive(5.1, "b", "snapshot", [2, 1, 3, 2, facts])
+    assert node.last_position() == (4, 2) and node.durable.snapshot_index == 3, "acknowledged entries stay"
 
 
 @FAST
@@ -360,11 +371,11 @@
     )
 )
 def test_malformed_messages_are_ignored(messages):
-    one = RaftNode("a", 1, 1.0, SeededRandom(1), 0.0, None, (("a", 1), ("b", 1), ("c", 1)))
+    node = RaftNode("a", 1, 1.0, SeededRandom(1), 0.0, None, (("a", 1), ("b", 1), ("c", 1)))
     for number, (kind, fields) in enumerate(messages):
-        one.receive(0.1 * number, "b", kind, fields)
-        one.tick(0.1 * number + 0.05)
-    assert one.role in range(4) and one.last_position().last_index >= 1
+        node.receive(0.1 * number, "b", kind, fields)
+        node.tick(0.1 * number + 0.05)
+    assert node.role in range(4) and node.last_position().last_index >= 1
 
 
 @pytest.mark.parametrize(
@@ -387,12 +398,12 @@
 )
 def test_entries_with_a_malformed_command_are_not_appended(command):
     """Guards against an IndexError for an empty command, and a command with too few arguments in the log."""
-    one = voter()
-    before = one.durable
-    one.receive(5.0, "b", "append", [2, 1, 1, 0, [[2, command]], 2])
-    assert one.durable == before
-    one.receive(5.1, "b", "append", [2, 2, 1, 0, [[2, ["begin"]], [2, ["from a later version", 1]]], 3])
-    assert one.last_position().last_index == 3, "a command of an unknown kind is kept"
+    node = voter()
+    before = node.durable
+    node.receive(5.0, "b", "append", [2, 1, 1, 0, [[2, command]], 2])
+    assert node.durable == before
+    node.receive(5.1, "b", "append", [2, 2, 1, 0, [[2, ["begin"]], [2, ["from a later version", 1]]], 3])
+    assert node.last_position().last_index == 3, "a command of an unknown kind is kept"
 
 
 @pytest.mark.parametrize(
@@ -413,8 +424,8 @@
 )
 def test_values_of_another_type_change_nothing_that_is_durable(kind, fields):
     """Guards against True being accepted as 1, and 3.0 as 3, in terms and indexes."""
-    one = voter()
-    one.take_effects()
-    before = one.durable
-    assert not [effect for effect in one.receive(5.0, "b", kind, fields) if not isinstance(effect, Send)]
-    assert one.durable == before
+    node = voter()
+    node.take_effects()
+    before = node.durable
+    assert not [effect for effect in node.receive(5.0, "b", kind, fields) if not isinstance(effect, Send)]
+    assert node.durable == before
--- a/tests/digests/bootstrap.py
+++ b/tests/digests/bootstrap.py
@@ -25,75 +25,75 @@
 class Fleet:
     """Servers of a cluster that is not bootstrapped, and the announcements in flight."""
 
-    def __init__(self, chance: random.Random, record: Callable[[object], None]) -> None:
-        self.chance = chance
+    def __init__(self, random_source: random.Random, record: Callable[[object], None]) -> None:
+        self.random_source = random_source
         self.record = record
-        self.names = [f"n{number}" for number in range(chance.choice(SIZES))]
-        chance.shuffle(self.names)
-        self.lives = {name: chance.randrange(1, 5) for name in self.names}
+        self.names = [f"n{number}" for number in range(random_source.choice(SIZES))]
+        random_source.shuffle(self.names)
+        self.incarnations = {name: random_source.randrange(1, 5) for name in self.names}
         self.servers = {}
         for name in self.names:
-            self.begin(name)
-        self.way: list[tuple[int, str, str, list]] = []
+            self.start(name)
+        self.in_flight: list[tuple[int, str, str, list]] = []
 
-    def begin(self, name: str) -> None:
+    def start(self, name: str) -> None:
         """Start an incarnation of one server without durable state."""
-        floor = self.chance.choice([0, 0, 7, 40])
-        self.servers[name] = Bootstrap(name, self.lives[name], floor, self.names)
+        floor = self.random_source.choice([0, 0, 7, 40])
+        self.servers[name] = Bootstrap(name, self.incarnations[name], floor, self.names)
         self.record(voter_set_to_wire(self.servers[name].complete_if_alone()))
 
-    def tell(self, step: int) -> None:
+    def announce(self, step: int) -> None:
         """Send one server's announcement to the others."""
-        name = self.chance.choice(self.names)
-        word = self.servers[name].announcement()
-        self.record(word)
+        name = self.random_source.choice(self.names)
+        announcement = self.servers[name].announcement()
+        self.record(announcement)
         for other in self.names:
-            if other != name and self.chance.random() < 0.8:
-                self.way.append((step + self.chance.randrange(12), name, other, word))
+            if other != name and self.random_source.random() < 0.8:
+                self.in_flight.append((step + self.random_source.randrange(12), name, other, announcement))
 
     def deliver(self, step: int) -> None:
         """Deliver the announcements that are due, some of them malformed."""
-        due = [one for one in self.way if one[0] <= step]
-        self.way = [one for one in self.way if one[0] > step]
+        due = [message for message in self.in_flight if message[0] <= step]
+        self.in_flight = [message for message in self.in_flight if message[0] > step]
         for _, sender, name, (row, would, done) in due:
-            kind = self.chance.random()
+            kind = self.random_source.random()
             if kind < 0.01:
                 sender = "stranger"
             elif kind < 0.02:
-                row = self.chance.choice(UNREADABLE)
+                row = self.random_source.choice(UNREADABLE)
             elif kind < 0.03:
-                would = self.chance.choice(UNREADABLE)
+                would = self.random_source.choice(UNREADABLE)
             elif kind < 0.04:
                 done = not done
             self.record(voter_set_to_wire(self.servers[name].receive(sender, row, would, done)))
 
     def restart(self) -> None:
         """Restart one server without its state."""
-        name = self.chance.choice(self.names)
-        self.lives[name] += 1
-        self.begin(name)
+        name = self.random_source.choice(self.names)
+        self.incarnations[name] += 1
+        self.start(name)
 
-    def founded(self) -> bool:
+    def all_completed(self) -> bool:
         """Return whether all have completed the bootstrap."""
         return all(server.completed is not None for server in self.servers.values())
 
 
 def play(seed: int, record: Callable[[object], None]) -> None:
     """Bootstrap cluster after cluster for some thousand steps and record all announcements and sets."""
-    chance = random.Random(seed)
-    for said in UNREADABLE:
-        record(read_voter_set(said) is not None)
-    fleet = Fleet(chance, record)
-    stays = 0
+    random_source = random.Random(seed)
+    for unreadable in UNREADABLE:
+        record(read_voter_set(unreadable) is not None)
+    fleet = Fleet(random_source, record)
+    completed_steps = 0
     for step in range(STEPS):
-        fleet.tell(step)
+        fleet.announce(step)
         fleet.deliver(step)
-        if chance.random() < 0.03:
+        if random_source.random() < 0.03:
             fleet.restart()
         if step % 10 == 0:
             record([voter_set_to_wire(server.proposal()) for server in fleet.servers.values()])
-        if fleet.founded():
-            stays += 1
-        if stays > 15:
-            stays = 0
-            fleet = Fleet(chance, record)
+        if fleet.all_completed():
+            completed_steps += 1
+        if completed_steps > 15:
+            completed_steps = 0
+            fleet = Fleet(random_source, record)
--- a/tests/digests/compaction.py
+++ b/tests/digests/compaction.py
@@ -7,90 +7,94 @@
 
 from valeturn.result_store.compaction_policy import (
     DISK_TRANSITIONS,
+    LATE_READ_GRACE_S,
+    MERGE_ABOVE_SEGMENTS,
+    CapacityView,
     DiskEvent,
     DiskHealth,
+    LogView,
     decide,
+    oldest_expired,
+    oldest_not_covered,
+    retry_after,
+    short_of_space,
 )
-from valeturn.result_store.compaction_policy import LATE_READ_GRACE_S as UNREAD
-from valeturn.result_store.compaction_policy import MERGE_ABOVE_SEGMENTS as MANY
-from valeturn.result_store.compaction_policy import CapacityView as Room
-from valeturn.result_store.compaction_policy import LogView as View
-from valeturn.result_store.compaction_policy import oldest_expired as over
-from valeturn.result_store.compaction_policy import oldest_not_covered as uncovered
-from valeturn.result_store.compaction_policy import retry_after as room_in
-from valeturn.result_store.compaction_policy import short_of_space as crowded
 
 DISK_STATES = (DiskHealth.HEALTHY, DiskHealth.BACKING_OFF, DiskHealth.REOPENING)
 DISK_INPUTS = (DiskEvent.FAILED, DiskEvent.RETRY, DiskEvent.REOPENED)
 STEPS = 4000
-SEGMENT = 1000
+SEGMENT_BYTES = 1000
 
 
-def generated_view(chance: random.Random) -> View:
+def generated_log_view(random_source: random.Random) -> LogView:
     """Return a log with values on both sides of each bound, and on the bounds."""
-    now = chance.uniform(0.0, 1000.0)
-    count = chance.choice([0, 1, 1, 2, 5, MANY, MANY + 1, MANY + 6])
-    first = chance.randrange(1, 50)
+    now = random_source.uniform(0.0, 1000.0)
+    count = random_source.choice(
+        [0, 1, 1, 2, 5, MERGE_ABOVE_SEGMENTS, MERGE_ABOVE_SEGMENTS + 1, MERGE_ABOVE_SEGMENTS + 6]
+    )
+    first = random_source.randrange(1, 50)
     segments = []
     for offset in range(count):
-        size = chance.choice([10, 400, SEGMENT // 2, 600, SEGMENT])
-        until = now + chance.choice([-2 * UNREAD, -UNREAD, -1.0, 30.0])
+        size = random_source.choice([10, 400, SEGMENT_BYTES // 2, 600, SEGMENT_BYTES])
+        until = now + random_source.choice([-2 * LATE_READ_GRACE_S, -LATE_READ_GRACE_S, -1.0, 30.0])
         segments.append((first + offset, size, until))
-    active = (first + count, chance.randrange(SEGMENT))
+    active = (first + count, random_source.randrange(SEGMENT_BYTES))
     used = sum(size for _, size, _ in segments) + active[1]
-    usable = chance.choice([used, used + 1, 4 * used // 3, 4 * used // 3 + 2, 3 * used]) + 1
-    snapshot_size = chance.choice([0, 100, 4 * SEGMENT, 9 * SEGMENT])
-    unsnapped = chance.choice([0, 2 * SEGMENT, 2 * SEGMENT + 1, snapshot_size // 2, snapshot_size])
-    return View(
+    usable = random_source.choice([used, used + 1, 4 * used // 3, 4 * used // 3 + 2, 3 * used]) + 1
+    snapshot_size = random_source.choice([0, 100, 4 * SEGMENT_BYTES, 9 * SEGMENT_BYTES])
+    unsnapped = random_source.choice(
+        [0, 2 * SEGMENT_BYTES, 2 * SEGMENT_BYTES + 1, snapshot_size // 2, snapshot_size]
+    )
+    return LogView(
         now,
         tuple(segments),
         active,
-        first + chance.choice([-1, 0, 1, count]),
+        first + random_source.choice([-1, 0, 1, count]),
         unsnapped,
         snapshot_size,
-        SEGMENT,
+        SEGMENT_BYTES,
         usable,
-        chance.random() < 0.9,
-        now + chance.choice([-1.0, -1.0, 0.0, 1.0]),
+        random_source.random() < 0.9,
+        now + random_source.choice([-1.0, -1.0, 0.0, 1.0]),
     )
 
 
-def generated_room(chance: random.Random) -> Room:
+def generated_capacity_view(random_source: random.Random) -> CapacityView:
     """Return a capacity view with values on both sides of each bound, and on the bounds."""
     most_keys = 100
     usable = 5000
     most_waiting = 300
-    used = chance.choice([100, 2000, usable - 500, usable])
-    return Room(
-        chance.choice([0, 50, most_keys - 1, most_keys, most_keys + 3]),
+    used = random_source.choice([100, 2000, usable - 500, usable])
+    return CapacityView(
+        random_source.choice([0, 50, most_keys - 1, most_keys, most_keys + 3]),
         most_keys,
         used,
-        chance.choice([0, 500, 501, usable - used, usable - used + 1]),
+        random_source.choice([0, 500, 501, usable - used, usable - used + 1]),
         usable,
-        chance.choice([0, most_waiting - 1, most_waiting, most_waiting + 1]),
+        random_source.choice([0, most_waiting - 1, most_waiting, most_waiting + 1]),
         most_waiting,
-        chance.choice([-1.0, 0.0, 0.0, 0.0, 2.5]),
-        chance.choice([0.0, 0.0, 0.0, 0.01, 3.5]),
-        chance.choice([-20.0, -UNREAD, -4.0, 0.0, 12.5]),
+        random_source.choice([-1.0, 0.0, 0.0, 0.0, 2.5]),
+        random_source.choice([0.0, 0.0, 0.0, 0.01, 3.5]),
+        random_source.choice([-20.0, -LATE_READ_GRACE_S, -4.0, 0.0, 12.5]),
     )
 
 
 def play(seed: int, record: Callable[[object], None]) -> None:
     """Record each decision on generated input."""
     for state in DISK_STATES:
-        for given in DISK_INPUTS:
-            found = DISK_TRANSITIONS.get((state, given))
-            record(None if found is None else [str(word) for word in found])
-    chance = random.Random(seed)
+        for event in DISK_INPUTS:
+            transition = DISK_TRANSITIONS.get((state, event))
+            record(None if transition is None else [str(word) for word in transition])
+    random_source = random.Random(seed)
     health = DiskHealth.HEALTHY
     for _ in range(STEPS):
-        view = generated_view(chance)
+        view = generated_log_view(random_source)
         record(str(decide(view)))
-        record([over(view), crowded(view)])
+        record([oldest_expired(view), short_of_space(view)])
         if view.segments:
-            record(uncovered(view))
-        record(room_in(generated_room(chance)))
-        found = DISK_TRANSITIONS.get((health, chance.choice(DISK_INPUTS)))
-        record(None if found is None else [str(word) for word in found])
-        if found is not None:
-            health = found[0]
+            record(oldest_not_covered(view))
+        record(retry_after(generated_capacity_view(random_source)))
+        transition = DISK_TRANSITIONS.get((health, random_source.choice(DISK_INPUTS)))
+        record(None if transition is None else [str(word) for word in transition])
+        if transition is not None:
+            health = transition[0]
--- a/tests/digests/degradation.py
+++ b/tests/digests/degradation.py
@@ -60,7 +60,7 @@
     return read
 
 
-def faults(record: Callable[[object], None]) -> None:
+def record_condition_errors(record: Callable[[object], None]) -> None:
     """Record the errors of unreadable conditions."""
     for text in UNREADABLE:
         try:
@@ -72,45 +72,47 @@
 class Load:
     """The server's load, in successive phases of some seconds."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
-        self.until = 0.0
+    def __init__(self, random_source: random.Random) -> None:
+        self.random_source = random_source
+        self.phase_ends_at = 0.0
         self.change(0.0)
 
     def change(self, now: float) -> None:
         """Begin another phase, of normal or high load."""
-        chance = self.chance
-        bad = chance.random() < 0.5
-        self.until = now + chance.choice([1.0, 3.0, 10.0, 30.0])
-        self.count = chance.choice([0, 1, 5, 5])
-        self.latency = chance.choice([0.3, 0.6, 2.0]) if bad else 0.1
-        self.failing = chance.choice([0.0, 0.0, 0.5]) if bad else 0.01
-        self.wait = chance.choice([0.01, 0.9]) if bad else 0.02
-        self.back = chance.choice([0.0, 0.1, 0.4]) if bad else 0.0
-        self.busy = chance.choice([0.65, 0.8, 0.99]) if bad else 0.4
-        self.memory = chance.choice([0.5, 0.75, 0.85]) if bad else 0.3
-        self.gauges = chance.random() < 0.9
+        random_source = self.random_source
+        high_load = random_source.random() < 0.5
+        self.phase_ends_at = now + random_source.choice([1.0, 3.0, 10.0, 30.0])
+        self.count = random_source.choice([0, 1, 5, 5])
+        self.latency = random_source.choice([0.3, 0.6, 2.0]) if high_load else 0.1
+        self.failing = random_source.choice([0.0, 0.0, 0.5]) if high_load else 0.01
+        self.wait = random_source.choice([0.01, 0.9]) if high_load else 0.02
+        self.rejected_share = random_source.choice([0.0, 0.1, 0.4]) if high_load else 0.0
+        self.busy = random_source.choice([0.65, 0.8, 0.99]) if high_load else 0.4
+        self.memory = random_source.choice([0.5, 0.75, 0.85]) if high_load else 0.3
+        self.gauges = random_source.random() < 0.9
 
     def feed(self, now: float, signals: Signals) -> None:
         """Feed one sweep's worth to the signals."""
-        chance = self.chance
+        random_source = self.random_source
         for _ in range(self.count):
-            signals.record_call(now, self.latency * chance.uniform(0.8, 1.2), chance.random() < self.failing)
-            signals.record_request(now, self.wait * chance.uniform(0.8, 1.2))
-            if chance.random() < self.back:
+            signals.record_call(
+                now, self.latency * random_source.uniform(0.8, 1.2), random_source.random() < self.failing
+            )
+            signals.record_request(now, self.wait * random_source.uniform(0.8, 1.2))
+            if random_source.random() < self.rejected_share:
                 signals.record_rejection(now)
-        if self.gauges and chance.random() < 0.5:
-            signals.record_gauges(now, self.busy, chance.choice([self.memory, self.memory, None]))
+        if self.gauges and random_source.random() < 0.5:
+            signals.record_gauges(now, self.busy, random_source.choice([self.memory, self.memory, None]))
 
 
-def generated_levels(chance: random.Random, enters: list, leaves: list) -> list[DegradationLevel]:
+def generated_levels(random_source: random.Random, enters: list, leaves: list) -> list[DegradationLevel]:
     """Return some of the levels, each with its own minimum stay."""
     levels = []
     for position, (enter, leave) in enumerate(zip(enters, leaves, strict=True)):
-        if chance.random() < 0.85:
-            stay = chance.choice([2.0, 3.0, 5.0])
+        if random_source.random() < 0.85:
+            stay = random_source.choice([2.0, 3.0, 5.0])
             levels.append(DegradationLevel(f"level-{position}", position + 1, enter, leave, stay, None))
-    chance.shuffle(levels)
+    random_source.shuffle(levels)
     return levels
 
 
@@ -121,44 +123,46 @@
     return [list(one) for one in changes]
 
 
-def by_hand(chance: random.Random, decision: DegradationController, now: float) -> list[object] | None:
+def pin_or_unpin(
+    random_source: random.Random, controller: DegradationController, now: float
+) -> list[object] | None:
     """Pin a level, which may be unknown, or release the pinned one, and return the changes."""
-    if chance.random() < 0.7:
-        name = f"level-{chance.randrange(5)}"
-        return plain(decision.pin(now, name, chance.choice([1.0, 5.0, 20.0])))
-    return plain(decision.unpin(now))
+    if random_source.random() < 0.7:
+        name = f"level-{random_source.randrange(5)}"
+        return plain(controller.pin(now, name, random_source.choice([1.0, 5.0, 20.0])))
+    return plain(controller.unpin(now))
 
 
 def play(seed: int, record: Callable[[object], None]) -> None:
     """Play some thousand sweeps and record each change."""
-    chance = random.Random(seed)
-    faults(record)
+    random_source = random.Random(seed)
+    record_condition_errors(record)
     enters = conditions(ENTERS, record)
     leaves = conditions(LEAVES, record)
     now = 0.0
-    load = Load(chance)
+    load = Load(random_source)
     signals = Signals(now)
-    decision = DegradationController(generated_levels(chance, enters, leaves), now)
+    controller = DegradationController(generated_levels(random_source, enters, leaves), now)
     for step in range(STEPS):
         now += SWEEP
-        on_trial = decision.state is State.PROBATION
-        if now >= load.until or on_trial and chance.random() < 0.2:
+        on_trial = controller.state is State.PROBATION
+        if now >= load.phase_ends_at or on_trial and random_source.random() < 0.2:
             load.change(now)
         load.feed(now, signals)
         read = signals.read(now)
-        if decision.active_name is None:
+        if controller.active_name is None:
             signals.learn_baselines(now, read)
         else:
             signals.skip_learning(now)
-        kind = chance.random()
+        kind = random_source.random()
         if kind < 0.008:
-            record(by_hand(chance, decision, now))
-        elif kind < 0.012 or kind < 0.04 and decision.state in (State.PROBATION, State.PINNED):
-            decision.configure(generated_levels(chance, enters, leaves))
-        cold = chance.random() < 0.1
-        record(plain(decision.step(now, read, signals.baselines, cold)))
-        record([STATES.index(decision.state), decision.active_name, decision.exempt_ratio(now)])
+            record(pin_or_unpin(random_source, controller, now))
+        elif kind < 0.012 or kind < 0.04 and controller.state in (State.PROBATION, State.PINNED):
+            controller.configure(generated_levels(random_source, enters, leaves))
+        cold = random_source.random() < 0.1
+        record(plain(controller.step(now, read, signals.baselines, cold)))
+        record([STATES.index(controller.state), controller.active_name, controller.exempt_ratio(now)])
         if step % 20 == 0:
             record(list(read.values()))
             record(list(signals.baselines.values()))
-            record(list(decision.stay_factors.values()))
+            record(list(controller.stay_factors.values()))
--- a/tests/digests/entry_states.py
+++ b/tests/digests/entry_states.py
@@ -10,7 +10,7 @@
 STATES = ALL_STATES
 INPUTS = range(8)
 # Today's names -> the names with which the digests were recorded.
-WORDS = {None: None, "reject": "refuse", "execute": "run", "coalesce": "join", "fail": "write_off"}
+RECORDED_NAMES = {None: None, "reject": "refuse", "execute": "run", "coalesce": "join", "fail": "write_off"}
 KEYS = 40
 STEPS = 6000
 
@@ -20,21 +20,21 @@
     if found is None:
         return None
     state, effect = found
-    return [STATES.index(state), WORDS.get(effect, effect and str(effect))]
+    return [STATES.index(state), RECORDED_NAMES.get(effect, effect and str(effect))]
 
 
 def play(seed: int, record: Callable[[object], None]) -> None:
     """Record the transition of each pair, then those of generated inputs."""
     for state in STATES:
-        record(WORDS.get(LOOKUP_OUTCOMES[state], str(LOOKUP_OUTCOMES[state])))
-        for given in INPUTS:
-            record(plain(transition(state, given)))
-    chance = random.Random(seed)
+        record(RECORDED_NAMES.get(LOOKUP_OUTCOMES[state], str(LOOKUP_OUTCOMES[state])))
+        for input_number in INPUTS:
+            record(plain(transition(state, input_number)))
+    random_source = random.Random(seed)
     keys = [ABSENT] * KEYS
     for _ in range(STEPS):
-        key = chance.randrange(KEYS)
-        found = transition(keys[key], chance.choice(INPUTS))
+        key = random_source.randrange(KEYS)
+        found = transition(keys[key], random_source.choice(INPUTS))
         record([key, plain(found)])
         if found is not None:
             keys[key] = found[0]
-        record(WORDS.get(LOOKUP_OUTCOMES[keys[key]], str(LOOKUP_OUTCOMES[keys[key]])))
+        record(RECORDED_NAMES.get(LOOKUP_OUTCOMES[keys[key]], str(LOOKUP_OUTCOMES[keys[key]])))
--- a/tests/digests/quota.py
+++ b/tests/digests/quota.py
@@ -1,7 +1,7 @@
-"""Feeds both sides of the split of a dependency's cap: needs, losses, delays, restarts and new fences.
+"""Drives both sides of the quota of a shared dependency: needs, losses, delays, restarts, new fencing tokens.
 
-Each server has its own clock. Asks and grants travel with delays and losses, some are repeated, some are
-of an owner that was followed by another, and some grants are spoilt.
+Each server has its own clock. Requests and grants are delayed and lost, some grants are duplicated or
+invalid, and some come from an allocator that a later leader has replaced.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 SOURCES = tuple(QuotaSource)
 STEPS = 4000
 CAP = 60.0
-LARGEST = 5
-LASTS = 4.0
+LARGEST_SERVER_COUNT = 5
+GRANT_LIFETIME_S = 4.0
 
 
 class Server:
-    """One server with its own clock."""
+    """A server with its own clock and its quota client."""
 
-    def __init__(self, chance: random.Random, name: str) -> None:
+    def __init__(self, random_source: random.Random, name: str) -> None:
         self.name = name
-        self.rate = chance.uniform(0.99, 1.01)
-        self.offset = chance.uniform(0.0, 1000.0)
+        self.rate = random_source.uniform(0.99, 1.01)
+        self.offset = random_source.uniform(0.0, 1000.0)
         self.need = 0.0
         self.silent_until = 0.0
-        self.deaf_until = 0.0
-        self.holder = QuotaClient(self.clock(0.0), CAP / LARGEST, LASTS)
+        self.receives_nothing_until = 0.0
+        self.client = QuotaClient(self.clock(0.0), CAP / LARGEST_SERVER_COUNT, GRANT_LIFETIME_S)
 
     def clock(self, now: float) -> float:
         """Return the server's own time."""
@@ -42,115 +42,117 @@
 
 
 class World:
-    """The servers, the owners so far and the messages on their way."""
+    """The servers, the allocators of all leaders so far and the messages in flight."""
 
-    def __init__(self, chance: random.Random, record: Callable[[object], None]) -> None:
-        self.chance = chance
+    def __init__(self, random_source: random.Random, record: Callable[[object], None]) -> None:
+        self.random_source = random_source
         self.record = record
         self.now = 0.0
-        self.servers = [Server(chance, f"s{number}") for number in range(LARGEST + 1)]
-        self.splitters = [QuotaAllocator(0.0, 1, CAP, LARGEST, LASTS)]
-        self.asks: list[tuple[float, int, Server, QuotaRequest]] = []
+        self.servers = [Server(random_source, f"s{number}") for number in range(LARGEST_SERVER_COUNT + 1)]
+        self.allocators = [QuotaAllocator(0.0, 1, CAP, LARGEST_SERVER_COUNT, GRANT_LIFETIME_S)]
+        self.requests: list[tuple[float, int, Server, QuotaRequest]] = []
         self.grants: list[tuple[float, Server, QuotaGrant]] = []
 
     def delay(self) -> float:
-        """Return how long a message is on its way: mostly short, at times for too long."""
-        if self.chance.random() < 0.04:
-            return self.chance.uniform(0.0, 1.5 * LASTS)
-        return self.chance.uniform(0.0, 0.2)
-
-    def events(self) -> None:
-        """Let the world change by chance."""
-        server = self.chance.choice(self.servers)
-        kind = self.chance.random()
+        """Return the delay of a message in seconds: mostly short, sometimes longer than a grant is valid."""
+        if self.random_source.random() < 0.04:
+            return self.random_source.uniform(0.0, 1.5 * GRANT_LIFETIME_S)
+        return self.random_source.uniform(0.0, 0.2)
+
+    def change_conditions(self) -> None:
+        """Randomly change a need, silence a server, restart its client or replace the allocator."""
+        server = self.random_source.choice(self.servers)
+        kind = self.random_source.random()
         if kind < 0.10:
-            server.need = self.chance.choice([0.0, 1.0, self.chance.uniform(0.0, 15.0), 40.0])
+            server.need = self.random_source.choice([0.0, 1.0, self.random_source.uniform(0.0, 15.0), 40.0])
         elif kind < 0.103:
-            server.silent_until = self.now + self.chance.uniform(0.0, 8 * LASTS)
+            server.silent_until = self.now + self.random_source.uniform(0.0, 8 * GRANT_LIFETIME_S)
         elif kind < 0.115:
-            server.deaf_until = self.now + self.chance.uniform(0.0, 2 * LASTS)
+            server.receives_nothing_until = self.now + self.random_source.uniform(0.0, 2 * GRANT_LIFETIME_S)
         elif kind < 0.118:
-            server.holder = QuotaClient(server.clock(self.now), CAP / LARGEST, LASTS)
+            server.client = QuotaClient(server.clock(self.now), CAP / LARGEST_SERVER_COUNT, GRANT_LIFETIME_S)
         elif kind < 0.121:
-            fence = len(self.splitters) + 1
-            self.splitters.append(QuotaAllocator(self.now, fence, CAP, LARGEST, LASTS))
-
-    def ask(self, server: Server) -> None:
-        """Let a server ask the present owner, or an earlier one."""
-        said = server.holder.request(server.clock(self.now), server.need)
-        self.record([said.need, said.sent_at, list(said.current_grant)])
-        owner = len(self.splitters) - 1
-        if self.chance.random() < 0.1:
-            owner = max(0, owner - 1)
-        if self.chance.random() < 0.9:
-            self.asks.append((self.now + self.delay(), owner, server, said))
-
-    def answer(self, owner: int, server: Server, said: QuotaRequest) -> None:
-        """Let an owner answer an ask that has come."""
-        grant = self.splitters[owner].handle_request(self.now, server.name, said)
+            fencing_token = len(self.allocators) + 1
+            self.allocators.append(
+                QuotaAllocator(self.now, fencing_token, CAP, LARGEST_SERVER_COUNT, GRANT_LIFETIME_S)
+            )
+
+    def send_request(self, server: Server) -> None:
+        """Send a server's request to the current allocator or to the one before it."""
+        request = server.client.request(server.clock(self.now), server.need)
+        self.record([request.need, request.sent_at, list(request.current_grant)])
+        allocator_index = len(self.allocators) - 1
+        if self.random_source.random() < 0.1:
+            allocator_index = max(0, allocator_index - 1)
+        if self.random_source.random() < 0.9:
+            self.requests.append((self.now + self.delay(), allocator_index, server, request))
+
+    def answer_request(self, allocator_index: int, server: Server, request: QuotaRequest) -> None:
+        """Let an allocator handle a request, and send its grant."""
+        grant = self.allocators[allocator_index].handle_request(self.now, server.name, request)
         if grant is None:
             self.record(None)
             return
         self.record(list(grant))
-        if self.now < server.deaf_until or self.chance.random() < 0.1:
+        if self.now < server.receives_nothing_until or self.random_source.random() < 0.1:
             return
         self.grants.append((self.now + self.delay(), server, grant))
-        if self.chance.random() < 0.05:
+        if self.random_source.random() < 0.05:
             self.grants.append((self.now + self.delay(), server, grant))
-        if self.chance.random() < 0.02:
-            self.grants.append((self.now, server, self.spoilt(grant)))
+        if self.random_source.random() < 0.02:
+            self.grants.append((self.now, server, self.invalid_grant(grant)))
 
-    def spoilt(self, grant: QuotaGrant) -> QuotaGrant:
-        """Return the grant with one value that must not be taken."""
-        fence, number, amount, stamp, lasts = grant
-        kind = self.chance.randrange(6)
+    def invalid_grant(self, grant: QuotaGrant) -> QuotaGrant:
+        """Return the grant with one value that the client has to reject."""
+        fencing_token, number, amount, requested_at, lifetime = grant
+        kind = self.random_source.randrange(6)
         if kind == 0:
             amount = float("nan")
         elif kind == 1:
             amount = -1.0
         elif kind == 2:
-            lasts = 0.0
+            lifetime = 0.0
         elif kind == 3:
-            lasts = 2 * LASTS
+            lifetime = 2 * GRANT_LIFETIME_S
         elif kind == 4:
-            stamp = stamp + 0.001
+            requested_at = requested_at + 0.001
         else:
-            fence = 0
-        return QuotaGrant(fence, number + 1, amount, stamp, lasts)
+            fencing_token = 0
+        return QuotaGrant(fencing_token, number + 1, amount, requested_at, lifetime)
 
     def deliver(self) -> None:
-        """Hand over all messages whose time has come."""
-        due = [one for one in self.asks if one[0] <= self.now]
-        self.asks = [one for one in self.asks if one[0] > self.now]
-        for _, owner, server, said in due:
-            self.answer(owner, server, said)
-        come = [one for one in self.grants if one[0] <= self.now]
-        self.grants = [one for one in self.grants if one[0] > self.now]
-        for _, server, grant in come:
-            self.record(server.holder.accept(server.clock(self.now), grant))
-            self.record([SOURCES.index(server.holder.source), server.holder.stale_count])
-
-    def figures(self) -> None:
-        """Record what may be used, by the servers and by the owner's count."""
+        """Deliver all messages that are due."""
+        due_requests = [message for message in self.requests if message[0] <= self.now]
+        self.requests = [message for message in self.requests if message[0] > self.now]
+        for _, allocator_index, server, request in due_requests:
+            self.answer_request(allocator_index, server, request)
+        due_grants = [message for message in self.grants if message[0] <= self.now]
+        self.grants = [message for message in self.grants if message[0] > self.now]
+        for _, server, grant in due_grants:
+            self.record(server.client.accept(server.clock(self.now), grant))
+            self.record([SOURCES.index(server.client.source), server.client.stale_count])
+
+    def record_state(self) -> None:
+        """Record the quota available to the servers and the allocator's view of it."""
         for server in self.servers:
-            holder = server.holder
-            self.record([holder.available(server.clock(self.now)), SOURCES.index(holder.source)])
-        splitter = self.splitters[-1]
-        self.record(splitter.committed(self.now))
-        self.record([splitter.upper_limit(self.now, server.name) for server in self.servers])
-        self.record(list(splitter.status(self.now).values()))
+            client = server.client
+            self.record([client.available(server.clock(self.now)), SOURCES.index(client.source)])
+        allocator = self.allocators[-1]
+        self.record(allocator.committed(self.now))
+        self.record([allocator.upper_limit(self.now, server.name) for server in self.servers])
+        self.record(list(allocator.status(self.now).values()))
 
 
 def play(seed: int, record: Callable[[object], None]) -> None:
-    """Play some thousand steps and record all that both sides return."""
-    chance = random.Random(seed)
-    world = World(chance, record)
+    """Run some thousand steps and record everything that both sides return."""
+    random_source = random.Random(seed)
+    world = World(random_source, record)
     for step in range(STEPS):
-        world.now += chance.uniform(0.01, 0.2)
-        world.events()
-        server = chance.choice(world.servers)
+        world.now += random_source.uniform(0.01, 0.2)
+        world.change_conditions()
+        server = random_source.choice(world.servers)
         if world.now >= server.silent_until:
-            world.ask(server)
+            world.send_request(server)
         world.deliver()
         if step % 20 == 0:
-            world.figures()
+            world.record_state()
--- a/tests/digests/vote_persistence.py
+++ b/tests/digests/vote_persistence.py
@@ -19,11 +19,11 @@
 
     def __init__(self, record: Callable[[object], None]) -> None:
         self.record = record
-        self.asked = 0
+        self.requested = 0
 
     def submit(self, kind: str, function: Callable[[bytes], None], *given: bytes) -> None:
         """Record one write, which ends when the driver ends it."""
-        self.asked += 1
+        self.requested += 1
         self.record([kind, list(given)])
 
 
@@ -39,11 +39,11 @@
     return f"{kept.term}".encode()
 
 
-def generated_effects(chance: random.Random, number: int) -> list[object]:
+def generated_effects(random_source: random.Random, number: int) -> list[object]:
     """Return up to five effects, with states to persist anywhere between them."""
     effects = []
-    for offset in range(chance.choice([0, 1, 1, 2, 3, 5])):
-        kind = chance.random()
+    for offset in range(random_source.choice([0, 1, 1, 2, 3, 5])):
+        kind = random_source.random()
         if kind < 0.3:
             effects.append(Persist(DurableState(term=number + offset)))
         elif kind < 0.8:
@@ -64,15 +64,15 @@
 
 def play(seed: int, record: Callable[[object], None]) -> None:
     """Run some thousand steps and record which effects are released, and when."""
-    chance = random.Random(seed)
+    random_source = random.Random(seed)
     helper = Helper(record)
     now = 0.0
     keeping = VotePersistence(Folder(), helper, encode)
     memory = VotePersistence(None, helper, encode)
     for number in range(STEPS):
-        now += chance.uniform(0.0, 0.5)
-        effects = generated_effects(chance, 10 * number)
-        kind = chance.random()
+        now += random_source.uniform(0.0, 0.5)
+        effects = generated_effects(random_source, 10 * number)
+        kind = random_source.random()
         if kind < 0.5:
             record([plain(one) for one in keeping.submit(effects)])
         elif kind < 0.55:
@@ -80,9 +80,9 @@
         elif kind < 0.6:
             record([plain(one) for one in keeping.release()])
         elif keeping.writing:
-            result = OSError(28, "no space") if chance.random() < 0.2 else None
+            result = OSError(28, "no space") if random_source.random() < 0.2 else None
             record([plain(one) for one in keeping.write_finished(now, result)])
         wants = keeping.is_retry_due(now)
-        record([wants, keeping.writing, len(keeping.waiting), helper.asked])
-        if wants and chance.random() < 0.7:
+        record([wants, keeping.writing, len(keeping.waiting), helper.requested])
+        if wants and random_source.random() < 0.7:
             keeping.write(DurableState(term=10 * number + 9))
